--- a/boragestream/serving/owner_links.py
+++ b/boragestream/serving/owner_links.py
@@ -1,9 +1,9 @@
-"""Reaches the entries that own the queues of stage services.
+"""Sends messages to the entries that own the queues of stage services.
 
-All live entries rank each other alike for a service, and the first owns its queue. One
-that is silent is passed over for a while; at the last this entry does the work itself.
-What is asked of an owner is left to ``serving.piece_orders`` and
-``serving.piece_bookings``.
+All entries compute the same ranking of the live entries for a service, and the first in
+rank owns its queue. An entry that does not answer is skipped for some time; this entry
+itself is the last resort. ``serving.piece_orders`` and ``serving.piece_bookings``
+define what an owner is asked.
 """
 
 from collections.abc import Callable, Sequence
@@ -27,7 +27,7 @@
 class OwnerLinks:
     """The owners of queues, as this entry sees them.
 
-    :param own: this entry's name, its address for other entries.
+    :param own: this entry's name, which is its address for other entries.
     :param live: returns the names of the live entries that can own queues.
     """
 
@@ -49,29 +49,30 @@
         """This entry's name."""
         return self._own
 
-    def owners(self, service: str, known: str = "") -> list[str]:
-        """Return the entries to ask, in their order.
+    def owners(self, service: str, current: str = "") -> list[str]:
+        """Return the entries to ask, first choice first; the last is this entry.
 
-        :param known: the owner that took an order; it stays the owner while it is
-            there, whoever ranks before it since, so that nothing is made twice.
+        :param current: the owner that accepted an order. It remains the first choice
+            while it is live, even if another entry ranks before it by now, so that
+            no piece is made twice.
         """
         ranked = owner_order(service, self._live())
-        if known in ranked:
-            ranked.remove(known)
-            ranked.insert(0, known)
-        answering = [e for e in ranked if not self._questions.is_passed_over(e)]
-        # This entry itself is the last resort, wherever it ranks.
-        until_own = answering
-        if self._own in answering:
-            until_own = answering[: answering.index(self._own) + 1]
-        return until_own if self._own in until_own else [*until_own, self._own]
+        if current in ranked:
+            ranked.remove(current)
+            ranked.insert(0, current)
+        responsive = [e for e in ranked if not self._questions.is_passed_over(e)]
+        # This entry itself is the last resort, whatever its rank.
+        candidates = responsive
+        if self._own in responsive:
+            candidates = responsive[: responsive.index(self._own) + 1]
+        return candidates if self._own in candidates else [*candidates, self._own]
 
     def ask(self, owner: str, message: Message) -> PiecesAnswer | None:
-        """Ask an owner; one that is silent is passed over, and None returned."""
+        """Ask an owner; return None and skip it for some time if it does not answer."""
         return self._questions.ask(owner, owner, message, PiecesAnswer)
 
     def send(self, entry: str, message: Message) -> None:
-        """Send a message that needs no answer, without waiting for it."""
+        """Send a message in the background; its reply is not needed."""
         self._messages.submit(self._deliver, entry, message)
 
     def _deliver(self, entry: str, message: Message) -> None:
@@ -91,5 +92,5 @@
 
 
 def milliseconds(seconds: float) -> int:
-    """Return a time as messages between entries carry it."""
+    """Return seconds as whole milliseconds for a message; at most an hour."""
     return int(min(seconds, 3600.0) * 1000)
--- a/boragestream/serving/parts.py
+++ b/boragestream/serving/parts.py
@@ -1,4 +1,4 @@
-"""What running stages needs, shared by all requests of an entry."""
+"""The parts for running stages, shared by all requests of an entry."""
 
 import random
 from collections.abc import Callable
@@ -24,13 +24,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServingParts:
-    """The parts.
+    """The parts for running stages.
 
-    :ivar backoffs: which servers want no calls now.
-    :ivar limited: which servers have a limit, and permits to call them.
+    :ivar backoffs: which servers have asked not to be called for some time.
+    :ivar limited: the servers that have a limit, and the permits to call them.
     :ivar quarantine: which requests crash servers.
-    :ivar attempts: runs attempts beside the request's own thread.
-    :ivar times: recent times of attempts, by kind of call.
+    :ivar routing: the routing policies, by name.
+    :ivar lines: the requests that wait for room on a server, by service.
+    :ivar attempts: the threads for attempts outside the request's own thread.
+    :ivar times: the recent times of attempts, by kind of call.
     """
 
     servers: ServerTable
@@ -64,9 +66,10 @@
 ) -> ServingParts:
     """Return the parts of an entry.
 
-    :param limited: which servers have a limit, and permits to call them.
+    :param limited: the servers that have a limit, and the permits to call them.
     :param quarantine: which requests crash servers.
-    :param home: returns where the entry is.
+    :param attempts: the threads for attempts outside the request's own thread.
+    :param home: returns the location of the entry.
     """
     return ServingParts(
         servers=servers,
--- a/boragestream/serving/piece_batches.py
+++ b/boragestream/serving/piece_batches.py
@@ -1,9 +1,9 @@
-"""Sends the queued pieces of stage services in batches: the work of a queue's owner.
+"""Sends the queued pieces of stage services in batches, as the owner of their queues.
 
-A batch leaves when a server is free, never on a timer. Pieces whose call failed go back
-into the queue while the bound on repeats allows it. Which pieces go together is decided
-by ``policy.piece_queue``, which entry owns a queue by ``serving.piece_orders``; the
-calls are made by ``serving.piece_calls``.
+A batch is sent when a server is free, never on a timer. Pieces whose call failed return
+to the queue as long as the bound on repeats allows it. ``policy.piece_queue`` decides
+which pieces form a batch, ``serving.piece_orders`` which entry owns a queue, and
+``serving.piece_calls`` makes the calls.
 """
 
 import threading
@@ -31,59 +31,60 @@
 from boragestream.policy.servers import Server
 from boragestream.policy.service_queue import Batch, CallRoom, ServiceQueue
 from boragestream.serving.ejections import note_ejection
-from boragestream.serving.piece_calls import BatchParts, PieceCalls, no_results
+from boragestream.serving.piece_calls import BatchParts, PieceCalls, unreadable_results
 from boragestream.serving.request_guard import count_crash, has_crashed
 
-__all__ = ["PieceBatches", "PieceDone"]
+__all__ = ["PieceBatches", "ResultsCallback"]
 
-# Queues are looked at again so often, and no permit is missed in between.
+# A server with a limit is sent a batch if its permit begins within this time. Queues
+# are checked at this interval, so no permit is missed between two checks.
 PERMIT_WAIT_SECONDS = 0.25
-# How a call ends that was not made after all.
+# The failures of calls that were abandoned before anything was sent.
 NOT_CALLED = ServerBackedOff | ServerCold | ServerLeft | ServerLimited
 
-# Told the results of pieces of one order, by piece number.
-PieceDone = Callable[[str, Sequence[tuple[int, PieceResult]]], None]
+# Receives the id of an order and results of its pieces, by piece number.
+ResultsCallback = Callable[[str, Sequence[tuple[int, PieceResult]]], None]
 
 
 class PieceBatches:
     """The queues that this entry owns, and the calls made for them.
 
-    :param done: told the results of each order's pieces.
+    :param on_results: receives the results of each order's pieces.
     """
 
-    def __init__(self, parts: BatchParts, done: PieceDone) -> None:
+    def __init__(self, parts: BatchParts, on_results: ResultsCallback) -> None:
         self._parts = parts
-        self._done = done
+        self._done = on_results
         self._queues: dict[str, ServiceQueue] = {}
         self._lock = threading.Lock()
         self._calls = PieceCalls(parts)
-        # Who made each result, and of which service it is.
-        self._makers: dict[str, tuple[str, Server]] = {}
+        # The service and the server of each result, by its handle.
+        self._result_servers: dict[str, tuple[str, Server]] = {}
 
     def submit(
         self, order: PieceOrder, start_seconds: float, left_seconds: float
     ) -> float | None:
-        """Take an order into its queue.
+        """Add an order to its queue.
 
-        Taking one that is there already changes nothing.
+        Adding an order that is already in the queue changes nothing.
 
-        :param start_seconds: until its latest start.
-        :param left_seconds: until nobody waits for it any more.
-        :returns: the expected wait in seconds where it is refused, None if it is taken.
+        :param start_seconds: the time until its latest start.
+        :param left_seconds: the time until its request stops waiting for it.
+        :returns: the expected wait in seconds if it is refused, None if it is accepted.
         """
         self._parts.used()
         limits = self._parts.limits(order.service)
         if limits is None:
             return 0.0
         left = self._backed_off_seconds(order.service)
-        if left is not None and not self.knows_order(order.order_id):
+        if left is not None and not self.has_order(order.order_id):
             return left
         now = self._parts.clock.now()
         queued = QueuedOrder(
             order, now + start_seconds, now + left_seconds, list(order.pieces)
         )
         queued.suspected = self._parts.quarantine.known(order.fingerprint).crashes > 0
-        usable = self._usable(order.service)
+        usable = self._usable_servers(order.service)
         with self._lock:
             queue = self._queue(order.service)
             known = order.order_id in queue.orders
@@ -91,17 +92,17 @@
         if wait is None:
             if not known:
                 self._parts.retries.note_request(order.service, len(order.pieces))
-            self._pump(order.service)
+            self._send_batches(order.service)
         return wait
 
     def book(
         self, booking: PieceBooking, start_seconds: float, left_seconds: float
     ) -> float | None:
-        """Book an order that comes once the stages before it are done.
+        """Book an order that will be sent once the stages before it are done.
 
-        :param start_seconds: until its latest start.
-        :param left_seconds: until nobody waits for it any more.
-        :returns: the expected wait in seconds where it is refused, None if it is taken.
+        :param start_seconds: the time until its latest start.
+        :param left_seconds: the time until its request stops waiting for it.
+        :returns: the expected wait in seconds if it is refused, None if it is accepted.
         """
         self._parts.used()
         limits = self._parts.limits(booking.service)
@@ -111,42 +112,46 @@
         if left is not None:
             return left
         now = self._parts.clock.now()
-        usable = self._usable(booking.service)
+        usable = self._usable_servers(booking.service)
         with self._lock:
             queue = self._queue(booking.service)
             start_by, expires = now + start_seconds, now + left_seconds
             return queue.book(booking, start_by, expires, limits, usable, now)
 
     def cancel(self, service: str, order_id: str) -> None:
-        """Drop an order or a booking; what is under way is made in vain."""
+        """Drop an order or a booking.
+
+        Calls in progress are not cancelled; their results are released.
+        """
         with self._lock:
             queue = self._queues.get(service)
             if queue is not None:
                 queue.drop(order_id)
 
-    def knows_order(self, order_id: str) -> bool:
-        """Tell whether an order is in a queue or under way here."""
+    def has_order(self, order_id: str) -> bool:
+        """Return whether an order is in a queue of this entry or in progress."""
         return any(order_id in queue.orders for queue in list(self._queues.values()))
 
     def release(self, handles: Sequence[str]) -> None:
-        """Give results up, so that their servers have room again."""
+        """Release results, which frees their room on the servers."""
         by_server: dict[tuple[str, str, str], tuple[str, Server, list[str]]] = {}
         with self._lock:
             for handle in handles:
-                service, server = self._makers.get(handle, ("", None))
-                # Where nothing is sent, results take up room until they expire.
+                service, server = self._result_servers.get(handle, ("", None))
+                # If the server may not be sent messages, its results take up room until
+                # they expire.
                 if server is None or not self._calls.takes_messages(server):
                     continue
-                del self._makers[handle]
+                del self._result_servers[handle]
                 self._queues[service].release(server, handle)
                 freed = by_server.setdefault(server.identity, (service, server, []))
                 freed[2].append(handle)
         for service, server, freed in by_server.values():
             self._calls.submit(self._calls.release, server, tuple(freed))
-            self._pump(service)
+            self._send_batches(service)
 
     def look_again(self) -> None:
-        """Drop orders that expired or are late, and use servers that have come."""
+        """Drop expired, late and unserved orders; send batches to free servers."""
         now = self._parts.clock.now()
         late: list[QueuedOrder] = []
         unserved: list[QueuedOrder] = []
@@ -163,55 +168,58 @@
                     late += queue.drop_starting_before(now + left)
                 if not self._parts.servers.live(service):
                     unserved += queue.drop_unserved()
-            for handle, (service, server) in list(self._makers.items()):
+            for handle, (service, server) in list(self._result_servers.items()):
                 if not self._queues[service].holds(server, handle):
-                    del self._makers[handle]
-        self._give_up(late, PieceFault.LATE)
-        self._give_up(unserved, PieceFault.NO_SERVER)
+                    del self._result_servers[handle]
+        self._fail_orders(late, PieceFault.LATE)
+        self._fail_orders(unserved, PieceFault.NO_SERVER)
         for service in services:
-            self._pump(service)
-        self._calls.look_again()
+            self._send_batches(service)
+        self._calls.check_overdue_calls()
 
-    def _give_up(self, orders: Sequence[QueuedOrder], fault: PieceFault) -> None:
-        given_up = PieceResult("", fault)
+    def _fail_orders(self, orders: Sequence[QueuedOrder], fault: PieceFault) -> None:
+        failed = PieceResult("", fault)
         for queued in orders:
             order = queued.order
-            self._done(order.order_id, [(p.number, given_up) for p in order.pieces])
+            self._done(order.order_id, [(p.number, failed) for p in order.pieces])
 
     def _queue(self, service: str) -> ServiceQueue:
         if service not in self._queues:
-            self._queues[service] = ServiceQueue(self._room)
+            self._queues[service] = ServiceQueue(self._call_room)
             emit(Event.QUEUE_OWNED, service=service)
         return self._queues[service]
 
-    def _usable(self, service: str) -> list[Server]:
+    def _usable_servers(self, service: str) -> list[Server]:
         parts = self._parts
-        called = parts.backoffs.usable(parts.servers.live(service))
-        live = parts.cold.usable(called)
+        accepting = parts.backoffs.usable(parts.servers.live(service))
+        live = parts.cold.usable(accepting)
         need = RoutingNeed(without=WITHOUT)
         return usable_servers(live, self._parts.loads, need, self._parts.clock.now())
 
-    def _room(self, server: Server) -> CallRoom:
+    def _call_room(self, server: Server) -> CallRoom:
         limits = self._parts.limited.limits
         return CallRoom(limits.rate(server), limits.seconds_left(server))
 
-    def _callable(self, service: str) -> list[Server]:
-        """Return the servers that may be sent a batch, those without a limit first."""
+    def _sendable_servers(self, service: str) -> list[Server]:
+        """Return the servers that may be sent a batch, those without a limit first.
+
+        Servers with a limit are included if a permit begins soon.
+        """
         limits = self._parts.limited.limits
-        free, held = limits.split(self._usable(service))
-        soon = [s for s in held if limits.seconds_left(s) <= PERMIT_WAIT_SECONDS]
-        return [*free, *soon]
+        without_limit, with_limit = limits.split(self._usable_servers(service))
+        soon = [s for s in with_limit if limits.seconds_left(s) <= PERMIT_WAIT_SECONDS]
+        return [*without_limit, *soon]
 
     def _backed_off_seconds(self, service: str) -> float | None:
-        """Return until when all servers want no calls; None where one takes some."""
+        """Return the seconds until a server may be called; None if one may be now."""
         return self._parts.backoffs.seconds_left(self._parts.servers.live(service))
 
-    def _pump(self, service: str) -> None:
-        """Send a batch to each server that is free."""
+    def _send_batches(self, service: str) -> None:
+        """Send a batch to each free server."""
         limits = self._parts.limits(service)
         if limits is None:
             return
-        usable = self._callable(service)
+        usable = self._sendable_servers(service)
         with self._lock:
             queue = self._queues[service]
             batches = queue.next_batches(limits, usable, self._parts.clock.now())
@@ -222,10 +230,10 @@
         parts = self._parts
         began = parts.clock.now()
         number = parts.loads.begin(batch.server)
-        sent_with = self._known_crashes(batch)
-        result: list[PieceResult] | AttemptFailure = no_results(batch.server)
+        crash_records = self._crash_records(batch)
+        result: list[PieceResult] | AttemptFailure = unreadable_results(batch.server)
         try:
-            result = self._make(batch)
+            result = self._make_call(batch)
         finally:
             end = CallEnd.ANSWERED if isinstance(result, list) else CallEnd.CUT
             if isinstance(result, ConnectFailed):
@@ -240,12 +248,12 @@
             if end not in (CallEnd.ANSWERED, CallEnd.CANCELLED):
                 note_ejection(parts.loads, batch.server, parts.clock.now())
             if isinstance(result, AnswerCut):
-                self._note_cut(batch.server, sent_with)
-            self._end(service, batch, result)
-        self._pump(service)
+                self._count_crashes(batch.server, crash_records)
+            self._end_batch(service, batch, result)
+        self._send_batches(service)
 
-    def _make(self, batch: Batch) -> list[PieceResult] | AttemptFailure:
-        """Make a batch's call, with a permit where its server has a limit."""
+    def _make_call(self, batch: Batch) -> list[PieceResult] | AttemptFailure:
+        """Make a batch's call, with a permit if its server has a limit."""
         limited, server = self._parts.limited, batch.server
         if limited.limits.limit(server) is None:
             return self._calls.make(batch)
@@ -258,34 +266,43 @@
             limited.permits.give_back(permit)
         return result
 
-    def _known_crashes(self, batch: Batch) -> list[CrashRecord]:
-        """Return what is known of each request that a batch has pieces of."""
-        wanted = {queued.order.fingerprint for queued, _ in batch.pieces}
-        return [self._parts.quarantine.known(of) for of in wanted if of]
-
-    def _note_cut(self, server: Server, sent_with: list[CrashRecord]) -> None:
-        """Count a crash against each request of a batch that its server cut."""
-        if not sent_with or not has_crashed(self._parts.line.connections, server):
+    def _crash_records(self, batch: Batch) -> list[CrashRecord]:
+        """Return the crash record of each request that a batch has pieces of."""
+        fingerprints = {queued.order.fingerprint for queued, _ in batch.pieces}
+        return [
+            self._parts.quarantine.known(fingerprint)
+            for fingerprint in fingerprints
+            if fingerprint
+        ]
+
+    def _count_crashes(self, server: Server, crash_records: list[CrashRecord]) -> None:
+        """Count a crash against each request of a batch if its server has crashed."""
+        if not crash_records or not has_crashed(self._parts.line.connections, server):
             return
-        for known in sent_with:
-            count_crash(self._parts.quarantine, known, server, request_id="")
+        for record in crash_records:
+            count_crash(self._parts.quarantine, record, server, request_id="")
 
     def _note_answered(self, batch: Batch, results: list[PieceResult] | None) -> None:
-        """Take that a server made pieces of requests, and lives."""
+        """Record the requests whose pieces a server made without crashing."""
         quarantine = self._parts.quarantine
         if quarantine.empty or results is None:
             return
         made = zip(batch.pieces, results, strict=True)
-        for of in {q.order.fingerprint for (q, _), done in made if done.handle}:
-            quarantine.note_answered(of)
+        for fingerprint in {
+            q.order.fingerprint for (q, _), done in made if done.handle
+        }:
+            quarantine.note_answered(fingerprint)
 
-    def _end(
+    def _end_batch(
         self,
         service: str,
         batch: Batch,
         result: list[PieceResult] | AttemptFailure,
     ) -> None:
-        """Take the results, put back what failed, and tell whoever waits."""
+        """Record a batch's results, requeue failed pieces and report the others.
+
+        Results of orders that were dropped since are released.
+        """
         results = result if isinstance(result, list) else None
         ran = True
         if isinstance(result, AttemptFailure):
@@ -302,11 +319,11 @@
                 order_id = queued.order.order_id
                 done = results[index] if results is not None else None
                 if done is not None and done.handle:
-                    self._makers[done.handle] = (service, batch.server)
+                    self._result_servers[done.handle] = (service, batch.server)
                 if order_id not in queue.orders:
                     if done is not None and done.handle:
                         unwanted.append(done.handle)
-                elif self._goes_back(queued, done, ran):
+                elif self._should_requeue(queued, done, ran):
                     queue.put_back(order_id, piece)
                 else:
                     outcome = done or PieceResult("", PieceFault.ERROR)
@@ -320,9 +337,14 @@
         if unwanted:
             self.release(unwanted)
 
-    def _goes_back(
+    def _should_requeue(
         self, queued: QueuedOrder, done: PieceResult | None, ran: bool
     ) -> bool:
+        """Return whether a piece must go back into the queue after its call.
+
+        :param done: the result of the piece; None if the whole call failed.
+        :param ran: whether the call may have run.
+        """
         service = queued.order.service
         crashes = self._parts.quarantine.known(queued.order.fingerprint)
         queued.suspected = crashes.crashes > 0
@@ -331,6 +353,6 @@
         if done is None:
             return not ran or self._parts.retries.spend(service)
         if done.fault is PieceFault.NO_ROOM:
-            # Nothing was made, so that it is no repeat.
+            # Nothing was made, so sending the piece again is not a repeat.
             return True
         return done.fault is PieceFault.ERROR and self._parts.retries.spend(service)
--- a/boragestream/serving/piece_bookings.py
+++ b/boragestream/serving/piece_bookings.py
@@ -1,10 +1,10 @@
-"""Books the later stages of a chain before its first one begins.
+"""Books the later stages of a chain before its first stage begins.
 
-The queue that binds is often that of the last stage. A chain that learns of it there
-has used up the servers of the stages before it, and its caller has waited for nothing.
-The owner of each later queue is asked at the beginning whether the order to come can
-be met, and counts it from then on. An owner that is silent is not waited for: the chain
-begins, and its order is taken or refused when it comes.
+The bottleneck is often the queue of the last stage. If a chain is refused only there,
+the servers of the earlier stages have worked for nothing and the caller has waited for
+nothing. So the owner of each later queue is asked at the start whether it can meet the
+future order, and counts that order from then on. If the owner does not answer, the
+chain begins without a booking, and the order is accepted or refused when it arrives.
 """
 
 from dataclasses import dataclass
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BookedOrder:
-    """A booking that was granted.
+    """A booking that its owner accepted.
 
-    :ivar owner: the entry that granted it.
+    :ivar owner: the entry that accepted it.
     """
 
     booking: PieceBooking
@@ -32,7 +32,7 @@
 
 
 class PieceBookings:
-    """The bookings of this entry's requests, and of others at the queues it owns."""
+    """The bookings of this entry's requests, and those of others in its own queues."""
 
     def __init__(self, owners: OwnerLinks, batches: PieceBatches, clock: Clock) -> None:
         self._owners = owners
@@ -42,11 +42,11 @@
     def book(
         self, booking: PieceBooking, start_by: float, deadline: float
     ) -> BookedOrder | StageSaturated | None:
-        """Book an order to come.
+        """Book a future order.
 
-        :param start_by: the clock's seconds at which it must start at the latest.
-        :param deadline: the clock's seconds at which its caller stops waiting.
-        :returns: the booking, why it was refused, or None where no owner answered.
+        :param start_by: its latest start, in seconds of the clock.
+        :param deadline: when its caller stops waiting, in seconds of the clock.
+        :returns: the booking, why it was refused, or None if the owner did not answer.
         """
         owner = self._owners.owners(booking.service)[0]
         now = self._clock.now()
@@ -74,7 +74,7 @@
         return StageSaturated(booking.service, milliseconds(wait))
 
     def cancel(self, booked: BookedOrder) -> None:
-        """Say that a booked order will not come."""
+        """Tell the owner that a booked order will not be sent."""
         service, order_id = booked.booking.service, booked.booking.order_id
         if booked.owner == self._owners.own:
             self._batches.cancel(service, order_id)
@@ -82,7 +82,7 @@
             self._owners.send(booked.owner, PiecesCancel(service, order_id))
 
     def answer_booking(self, envelope: Envelope, message: PiecesBook) -> PiecesAnswer:
-        """Take or refuse a booking of another entry."""
+        """Accept or refuse a booking of another entry."""
         booking = PieceBooking(
             message.order_id,
             message.service,
--- a/boragestream/serving/piece_calls.py
+++ b/boragestream/serving/piece_calls.py
@@ -1,8 +1,7 @@
-"""Makes the calls of stage servers: batches, releases of results, reports.
+"""Makes the calls to stage servers: batches, releases of results, reports.
 
-Which pieces go together and what becomes of their results is left to
-``serving.piece_batches``, when an answer is taken for lost to
-``policy.overdue_calls``.
+``serving.piece_batches`` decides which pieces form a batch and handles their results.
+``policy.overdue_calls`` decides when an answer counts as lost.
 """
 
 import itertools
@@ -51,31 +50,31 @@
 from boragestream.serving.limited_servers import LimitedServers
 from boragestream.serving.piece_failures import AnswerLost
 
-__all__ = ["BatchParts", "PieceCalls", "PieceFormat", "no_results"]
+__all__ = ["BatchParts", "PieceCalls", "PieceFormat", "unreadable_results"]
 
 CALL_THREADS = 64
-# A call may take this many times its usual time, and so many seconds more, before its
-# server is taken for one that hangs.
+# A call times out after this factor of its usual time plus the slack; its server then
+# counts as hanging.
 CALL_TIME_FACTOR = 4.0
 CALL_TIME_SLACK_SECONDS = 1.0
 RELEASE_SECONDS = 1.0
-# A report is there at once or of no use.
+# Servers answer with a report at once; one that arrives later is of no use.
 REPORT_SECONDS = 0.4
 
 
 class PieceFormat(Protocol):
-    """How calls of stage servers are put on the wire."""
+    """Encodes calls to stage servers and decodes their answers."""
 
     def encode_piece_call(
         self, server: Server, pieces: list[tuple[Piece, float]]
     ) -> bytes:
-        """Return the bytes of a call; each piece with the seconds left for it."""
+        """Return the bytes of a call; each piece is given with its seconds left."""
 
     def encode_release(self, server: Server, handles: tuple[str, ...]) -> bytes:
-        """Return the bytes of a call that gives results up."""
+        """Return the bytes of a call that releases results."""
 
     def encode_report_call(self, server: Server) -> bytes:
-        """Return the bytes of a question for a server's report."""
+        """Return the bytes of a call that asks for a server's report."""
 
     def read_piece_results(self, body: bytes) -> list[PieceResult] | None:
         """Decode an answer in the order of its pieces; None if unreadable."""
@@ -86,14 +85,15 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchParts:
-    """What the batches need of the entry.
+    """The parts of the entry that batches and their calls use.
 
     :ivar cold: which servers have just started.
-    :ivar backoffs: which servers want no calls now.
-    :ivar limited: which servers have a limit, and permits to call them.
+    :ivar backoffs: which servers have asked not to be called for some time.
+    :ivar limited: the servers that have a limit, and the permits to call them.
     :ivar quarantine: which requests crash servers.
     :ivar limits: returns the limits of a service's servers; None if unknown.
-    :ivar used: told of each order, since it is decided by what is published.
+    :ivar used: called for each order and booking, because published values decide
+        whether it is accepted.
     """
 
     line: CallLine
@@ -114,18 +114,18 @@
 
 @dataclass(slots=True)
 class _OpenCall:
-    """A batch that is under way.
+    """A batch whose call is in progress.
 
-    :ivar ask_at: when its server is asked about it, in the clock's seconds.
+    :ivar check_at: when its server is next asked for a report, in seconds of the clock.
     """
 
     server: Server
     scope: CancelScope
-    ask_at: float
+    check_at: float
 
 
 class PieceCalls:
-    """The calls of this entry to stage servers; each blocks its thread."""
+    """Makes the calls of this entry to stage servers; each call blocks its thread."""
 
     def __init__(self, parts: BatchParts) -> None:
         self._parts = parts
@@ -135,52 +135,52 @@
         self._lock = threading.Lock()
 
     def submit(self, work: Callable[..., None], *arguments: object) -> None:
-        """Have work that makes calls done by the next free thread."""
-        self._threads.submit(_logged, work, *arguments)
+        """Run a function that makes calls in the next free thread."""
+        self._threads.submit(_run_logged, work, *arguments)
 
     def make(
         self, batch: Batch, permit: Permit | None = None
     ) -> list[PieceResult] | AttemptFailure:
-        """Have a batch made; return the results in the order of its pieces.
+        """Make a batch's call and return the results in the order of its pieces.
 
-        :param permit: to call the server; None where it has no limit.
+        :param permit: the permit to call the server; None if it has no limit.
         """
         parts = self._parts
         began = parts.clock.now()
-        longest = batch.seconds * CALL_TIME_FACTOR + CALL_TIME_SLACK_SECONDS
-        scope = CancelScope(began + longest)
+        timeout = batch.seconds * CALL_TIME_FACTOR + CALL_TIME_SLACK_SECONDS
+        scope = CancelScope(began + timeout)
         number = next(self._numbers)
-        ask_at = began + ask_after_seconds(batch.seconds)
+        check_at = began + ask_after_seconds(batch.seconds)
         with self._lock:
-            self._open[number] = _OpenCall(batch.server, scope, ask_at)
+            self._open[number] = _OpenCall(batch.server, scope, check_at)
         try:
             return self._exchange(batch, permit, scope)
         finally:
             with self._lock:
                 del self._open[number]
 
-    def look_again(self) -> None:
-        """Ask the servers whose answers should have come about them."""
+    def check_overdue_calls(self) -> None:
+        """Ask the servers of overdue calls for reports."""
         now = self._parts.clock.now()
         with self._lock:
-            overdue = [call for call in self._open.values() if now >= call.ask_at]
+            overdue = [call for call in self._open.values() if now >= call.check_at]
             for call in overdue:
-                call.ask_at = now + ASK_AGAIN_SECONDS
+                call.check_at = now + ASK_AGAIN_SECONDS
         for call in overdue:
             self.submit(self._ask, call)
 
     def release(self, server: Server, handles: tuple[str, ...]) -> None:
-        """Tell a server that results are not needed any more.
+        """Tell a server that results are no longer needed.
 
-        One that is drained, wants no calls now or takes few is sent nothing: it
-        forgets them by itself.
+        Servers in a drained data centre, in backoff or with a limit are sent nothing:
+        they delete the results themselves when these expire.
         """
         if not self.takes_messages(server):
             return
         data = self._parts.format.encode_release(server, handles)
         failed = self._call(server, "POST", data, RELEASE_SECONDS)
         if isinstance(failed, AttemptFailure):
-            # The server forgets the results by itself after their time.
+            # The server deletes the results itself when they expire.
             emit(Event.RELEASE_FAILED, server=server.name, failure=failed.describe())
 
     def _ask(self, call: _OpenCall) -> None:
@@ -190,12 +190,12 @@
         data = wire.encode_report_call(server)
         body = self._call(server, "GET", data, REPORT_SECONDS)
         report = wire.read_stage_report(body) if isinstance(body, bytes) else None
-        # Without a report the call goes on until it has taken too long.
+        # Without a report the call goes on until it times out.
         if report is not None and answer_is_lost(report):
             call.scope.cancel(AnswerLost(server.name))
 
     def takes_messages(self, server: Server) -> bool:
-        """Tell whether a server may be sent what is no call for pieces."""
+        """Return whether a server may be sent calls other than batches."""
         parts = self._parts
         drained = server.data_centre in parts.servers.drained
         limited = parts.limited.limits.limit(server) is not None
@@ -220,7 +220,8 @@
         parts, server = self._parts, batch.server
 
         def encode(left: float) -> bytes | AttemptFailure:
-            # The choice has aged by a connect and by the wait for a free thread.
+            # The server was chosen before the wait for a thread and the connect, so its
+            # state is checked again.
             if not parts.servers.takes_work(server):
                 return ServerLeft(server.name, Ran.NOT_SENT)
             if not parts.backoffs.takes_calls(server):
@@ -253,17 +254,17 @@
             return ServerErred(server.name, Ran.MAY_HAVE_RUN, head.status)
         results = parts.format.read_piece_results(body)
         if results is None or len(results) != len(batch.pieces):
-            return no_results(server)
+            return unreadable_results(server)
         return results
 
 
-def no_results(server: Server) -> AttemptFailure:
-    """Return the failure of an answer that is no list of results."""
+def unreadable_results(server: Server) -> AttemptFailure:
+    """Return the failure for an answer without a readable list of results."""
     return AnswerCut(server.name, Ran.MAY_HAVE_RUN, "no results that can be read")
 
 
-def _logged(work: Callable[..., None], *arguments: object) -> None:
-    """Do some work, and log the error that it ends with."""
+def _run_logged(work: Callable[..., None], *arguments: object) -> None:
+    """Run a function and log the exception that it raises, if any."""
     try:
         work(*arguments)
     except Exception as error:
--- a/boragestream/serving/piece_failures.py
+++ b/boragestream/serving/piece_failures.py
@@ -12,8 +12,8 @@
 class StageSaturated(Failure):
     """A stage can't be done in time.
 
-    :ivar service: the service that does it.
-    :ivar wait_ms: the expected wait.
+    :ivar service: the service of the stage.
+    :ivar wait_ms: the expected wait in milliseconds.
     """
 
     service: str
@@ -24,8 +24,8 @@
 class PieceFailed(Failure):
     """A piece could not be made.
 
-    :ivar service: the service that does it.
-    :ivar fault: why.
+    :ivar service: the service of the stage.
+    :ivar fault: why the piece could not be made.
     """
 
     service: str
--- a/boragestream/serving/piece_orders.py
+++ b/boragestream/serving/piece_orders.py
@@ -1,9 +1,10 @@
-"""Has the pieces of requests made by whichever entry owns the queue of their service.
+"""Sends the piece orders of requests to the entry that owns their service's queue.
 
-An order is acknowledged at once and its results come in messages of their own. While an
-owner is silent the next in rank is asked; at the last the entry does it itself. Two
-owners for a moment make some pieces twice, and nothing worse. Who owns a queue is told
-by ``serving.owner_links``, the batches are formed in ``serving.piece_batches``.
+The owner acknowledges an order at once and sends its results in separate messages. If
+an owner does not answer, the order goes to the next entry in rank, and finally to this
+entry itself. If a queue briefly has two owners, some pieces are made twice; this has no
+other effect. ``serving.owner_links`` determines the owner of a queue, and
+``serving.piece_batches`` forms the batches.
 """
 
 import threading
@@ -30,19 +31,22 @@
 
 __all__ = ["OpenOrder", "PieceOrders"]
 
-# How often the owner of an order is asked whether it still has it.
-ASK_AGAIN_SECONDS = 0.8
+# Interval at which the owner of an unfinished order is sent the order again, in case it
+# has lost it.
+ORDER_CHECK_SECONDS = 0.8
 
 
 @dataclass(slots=True)
 class OpenOrder:
-    """An order whose results are awaited here.
-
-    :ivar owner: the entry that took it.
-    :ivar start_by: the clock's seconds at which it must start at the latest.
-    :ivar changed: set once all results are there or one is a fault.
-    :ivar began_at: when it was first asked for.
-    :ivar asked_at: when the owner was last known to have it.
+    """An order whose results this entry is waiting for.
+
+    :ivar owner: the entry that the order was last sent to.
+    :ivar start_by: the latest start, in seconds of the clock.
+    :ivar changed: set once all results have arrived or one is a fault.
+    :ivar missing: the numbers of the pieces whose results have not arrived.
+    :ivar began_at: when the order was opened, in seconds of the clock.
+    :ivar checked_at: when the order was last sent to an owner, in seconds of the clock.
+    :ivar received: the results that have arrived, by piece number.
     """
 
     order: PieceOrder
@@ -51,37 +55,37 @@
     missing: set[int]
     began_at: float
     owner: str = ""
-    asked_at: float = 0.0
-    made: dict[int, StageResult] = field(default_factory=dict)
+    checked_at: float = 0.0
+    received: dict[int, StageResult] = field(default_factory=dict)
     fault: PieceFault | None = None
 
     @property
     def finished(self) -> bool:
-        """Whether all results are there or one is a fault."""
+        """Whether all results have arrived or one is a fault."""
         return self.fault is not None or not self.missing
 
     @property
     def results(self) -> tuple[StageResult, ...]:
-        """The results in the order of the pieces, once all are there."""
-        return tuple(self.made[piece.number] for piece in self.order.pieces)
+        """The results in the order of the pieces, once all have arrived."""
+        return tuple(self.received[piece.number] for piece in self.order.pieces)
 
 
 class PieceOrders:
-    """The orders of this entry's requests, and those of others that it owns."""
+    """The orders of this entry's requests, and those sent to it by other entries."""
 
     def __init__(self, owners: OwnerLinks, clock: Clock) -> None:
         self._owners = owners
         self._own = owners.own
         self._clock = clock
         self._open: dict[str, OpenOrder] = {}
-        # Who awaits the orders that this entry owns for others.
-        self._askers: dict[str, str] = {}
+        # The entry that sent each order of another entry, by the id of the order.
+        self._requesters: dict[str, str] = {}
         self._owner_of_handle: dict[str, str] = {}
         self._lock = threading.Lock()
         self._batches: PieceBatches | None = None
 
     def join(self, batches: PieceBatches) -> None:
-        """Take the batches that this entry forms as an owner."""
+        """Set the queues that this entry owns; called once, before the first order."""
         self._batches = batches
 
     def begin(
@@ -91,11 +95,12 @@
         scope: CancelScope,
         changed: threading.Event,
     ) -> OpenOrder | Failure:
-        """Have pieces made; the results come later.
+        """Send an order to an owner; its results arrive later.
 
-        :param start_by: the clock's seconds at which they must start at the latest.
-        :param scope: ends the asking.
-        :param changed: set once all results are there or one is a fault.
+        :param start_by: the latest start of the pieces, in seconds of the clock.
+        :param scope: cancels the search for an owner.
+        :param changed: set once all results have arrived or one is a fault.
+        :returns: the open order, or why no owner accepted it.
         """
         numbers = {piece.number for piece in order.pieces}
         began = self._clock.now()
@@ -108,14 +113,17 @@
             return refused
         return opened
 
-    def ask_again(self, opened: OpenOrder, scope: CancelScope) -> Failure | None:
-        """Make sure now and then that an owner still has an order."""
-        if self._clock.now() - opened.asked_at < ASK_AGAIN_SECONDS:
+    def check_owner(self, opened: OpenOrder, scope: CancelScope) -> Failure | None:
+        """Send an order again once it is due, so that an owner certainly has it.
+
+        :returns: why no owner accepted it; None if one did or it is not due.
+        """
+        if self._clock.now() - opened.checked_at < ORDER_CHECK_SECONDS:
             return None
         return self._place(opened, scope)
 
     def end(self, opened: OpenOrder) -> None:
-        """Await an order no longer; what was made of an unfinished one is given up."""
+        """Close an order; cancel it and release its results if it is not done."""
         self._forget(opened)
         if opened.finished and opened.fault is None:
             return
@@ -124,10 +132,10 @@
         elif opened.owner:
             order = opened.order
             self._owners.send(opened.owner, PiecesCancel(order.service, order.order_id))
-        self.release([made.handle for made in opened.made.values()])
+        self.release([result.handle for result in opened.received.values()])
 
     def release(self, handles: Sequence[str]) -> None:
-        """Give results up that are not needed any more."""
+        """Release results that are no longer needed."""
         by_owner: dict[str, list[str]] = {}
         with self._lock:
             for handle in handles:
@@ -140,10 +148,10 @@
             else:
                 self._owners.send(owner, PiecesRelease(tuple(owned)))
 
-    def take_results(
+    def receive_results(
         self, owner: str, order_id: str, results: Sequence[tuple[int, PieceResult]]
     ) -> None:
-        """Take results of an order; what nobody awaits here is given up."""
+        """Record results of an order; release those that no open order needs."""
         with self._lock:
             opened = self._open.get(order_id)
             unwanted = []
@@ -155,7 +163,7 @@
                 elif result.handle:
                     opened.missing.discard(number)
                     size = opened.order.result_bytes
-                    opened.made[number] = StageResult(
+                    opened.received[number] = StageResult(
                         result.handle, result.data_centre, size
                     )
                 else:
@@ -165,19 +173,19 @@
             opened.changed.set()
 
     def done(self, order_id: str, results: Sequence[tuple[int, PieceResult]]) -> None:
-        """Pass results of an order that this entry owns on to whoever awaits it."""
-        asker = self._askers.get(order_id, self._own)
-        if asker == self._own:
-            self.take_results(self._own, order_id, results)
+        """Pass results from a queue of this entry to the entry that sent the order."""
+        requester = self._requesters.get(order_id, self._own)
+        if requester == self._own:
+            self.receive_results(self._own, order_id, results)
             return
         packed = tuple(
             (number, r.handle, r.fault.name if r.fault else "", r.data_centre)
             for number, r in results
         )
-        self._owners.send(asker, PiecesDone(order_id, packed))
+        self._owners.send(requester, PiecesDone(order_id, packed))
 
     def answer_order(self, envelope: Envelope, message: PiecesOrder) -> PiecesAnswer:
-        """Take an order of another entry."""
+        """Accept or refuse an order of another entry."""
         order = PieceOrder(
             message.order_id,
             message.service,
@@ -193,7 +201,7 @@
             message.fingerprint,
         )
         with self._lock:
-            self._askers[message.order_id] = envelope.sender
+            self._requesters[message.order_id] = envelope.sender
         refused = self._batches.submit(
             order, message.start_ms / 1000, message.left_ms / 1000
         )
@@ -202,47 +210,47 @@
         return PiecesAnswer(taken=False, wait_ms=milliseconds(refused))
 
     def answer_done(self, envelope: Envelope, message: PiecesDone) -> ProbeReply:
-        """Take results from an owner."""
+        """Record results that an owner sent."""
         results = [
             (number, PieceResult(handle, PieceFault[fault] if fault else None, place))
             for number, handle, fault, place in message.results
         ]
-        self.take_results(envelope.sender, message.order_id, results)
+        self.receive_results(envelope.sender, message.order_id, results)
         return ProbeReply(0)
 
     def answer_cancel(self, envelope: Envelope, message: PiecesCancel) -> ProbeReply:
-        """Drop an order of another entry."""
+        """Cancel an order of another entry."""
         self._batches.cancel(message.service, message.order_id)
         return ProbeReply(0)
 
     def answer_release(self, envelope: Envelope, message: PiecesRelease) -> ProbeReply:
-        """Give up results of another entry's orders."""
+        """Release results of another entry's orders."""
         self._batches.release(message.handles)
         return ProbeReply(0)
 
     def look_again(self) -> None:
-        """Forget what nobody awaits any more."""
+        """Forget which entry sent each order that is no longer in a queue."""
         with self._lock:
-            known = [
+            ended = [
                 order_id
-                for order_id in self._askers
-                if not self._batches.knows_order(order_id)
+                for order_id in self._requesters
+                if not self._batches.has_order(order_id)
             ]
-            for order_id in known:
-                del self._askers[order_id]
+            for order_id in ended:
+                del self._requesters[order_id]
 
     def _place(self, opened: OpenOrder, scope: CancelScope) -> Failure | None:
-        """Give an order to the first owner that takes it, or return its refusal."""
+        """Send an order to the first owner that answers; return any refusal."""
         order = opened.order
         for owner in self._owners.owners(order.service, opened.owner):
             now = self._clock.now()
             start, left = opened.start_by - now, scope.deadline - now
             if left <= 0 or scope.reason is not None:
                 return scope.reason or DeadlinePassed("stage")
-            opened.owner, opened.asked_at = owner, now
+            opened.owner, opened.checked_at = owner, now
             if owner == self._own:
                 return _refusal(order, self._batches.submit(order, start, left))
-            reply = self._owners.ask(owner, _message(order, start, left))
+            reply = self._owners.ask(owner, _order_message(order, start, left))
             if reply is not None:
                 wait = None if reply.taken else reply.wait_ms / 1000
                 return _refusal(order, wait)
@@ -253,7 +261,7 @@
             self._open.pop(opened.order.order_id, None)
 
 
-def _message(order: PieceOrder, start: float, left: float) -> PiecesOrder:
+def _order_message(order: PieceOrder, start: float, left: float) -> PiecesOrder:
     first = order.pieces[0]
     return PiecesOrder(
         order_id=order.order_id,
--- a/boragestream/serving/pipeline.py
+++ b/boragestream/serving/pipeline.py
@@ -1,7 +1,7 @@
-"""Takes a request through its stages, in the order that their needs give.
+"""Runs the stages of a request's pipeline in the order of their dependencies.
 
-Stages that need nothing of one another run side by side. The last stage's result is
-the answer; where it generates, it can be streamed.
+Independent stages run concurrently. The result of the last stage is the answer, which
+can be streamed if an engine generates it.
 """
 
 from collections.abc import Sequence
@@ -27,11 +27,11 @@
     """Runs pipelines.
 
     :ivar stages: runs single stages.
-    :ivar side_by_side: runs stages of one wave beside one another.
+    :ivar executor: the threads that run the stages of one wave concurrently.
     """
 
     stages: StageRunner
-    side_by_side: ThreadPoolExecutor
+    executor: ThreadPoolExecutor
 
     def run(self, request: RequestRecord) -> Any | Failure:
         """Run all stages and return the last one's result, or the first failure."""
@@ -41,15 +41,15 @@
         return results[request.pipeline.stages[-1].name]
 
     def open_stream(self, request: RequestRecord) -> OpenAnswer | Failure:
-        """Run all stages but the last whole, and the last up to its first bytes."""
+        """Run all stages, the last one up to the headers of its streamed answer."""
         *waves, last = stage_waves(request.pipeline)
         results = self._run_waves(request, waves)
         if isinstance(results, Failure):
             return results
         stage = last[0]
         stage_input = _input(request, stage, results)
-        timed = _with_own_deadline(request, stage)
-        answer = self.stages.open_stream(timed, stage, stage_input)
+        stage_request = _with_stage_deadline(request, stage)
+        answer = self.stages.open_stream(stage_request, stage, stage_input)
         if isinstance(answer, Failure):
             _end_stage(request, stage, answer)
         return answer
@@ -72,17 +72,17 @@
     ) -> list[Any | Failure]:
         first, *others = wave
         futures = [
-            self.side_by_side.submit(self._run_stage, request, stage, results)
+            self.executor.submit(self._run_stage, request, stage, results)
             for stage in others
         ]
-        mine = self._run_stage(request, first, results)
-        return [mine, *(future.result() for future in futures)]
+        first_result = self._run_stage(request, first, results)
+        return [first_result, *(future.result() for future in futures)]
 
     def _run_stage(
         self, request: RequestRecord, stage: Stage, results: dict[str, Any]
     ) -> Any | Failure:
-        timed = _with_own_deadline(request, stage)
-        result = self.stages.run(timed, stage, _input(request, stage, results))
+        stage_request = _with_stage_deadline(request, stage)
+        result = self.stages.run(stage_request, stage, _input(request, stage, results))
         _end_stage(request, stage, result)
         return result
 
@@ -92,15 +92,15 @@
     return StageInput(request.body, {name: results[name] for name in needs})
 
 
-def _with_own_deadline(request: RequestRecord, stage: Stage) -> RequestRecord:
-    """Note that a stage begins; return the request with the stage's own deadline."""
+def _with_stage_deadline(request: RequestRecord, stage: Stage) -> RequestRecord:
+    """Record that a stage begins; return the request with the stage's deadline."""
     deadline = request.admitted.begin_stage(stage.name)
     return replace(request, scope=request.scope.child(deadline))
 
 
 def _end_stage(request: RequestRecord, stage: Stage, result: Any | Failure) -> None:
-    # A stage that ran into its deadline took at least that long; one that failed
-    # otherwise says nothing about how long the servers need.
+    # A stage that reached its deadline took at least that long, so its time counts. The
+    # time of a stage with any other failure says nothing about the servers' speed.
     whole = not isinstance(result, Failure)
     timed = whole or isinstance(result, DeadlinePassed)
     saturated = isinstance(result, ServiceSaturated)
--- a/boragestream/serving/request.py
+++ b/boragestream/serving/request.py
@@ -1,6 +1,6 @@
-"""One request on its way: who asks for what, until when, and what was sent for it.
+"""One request in progress: its account, pipeline, input, deadline and sent calls.
 
-The record of what was sent decides which outcome is true when something fails.
+The record of the sent calls determines the outcome that is reported after a failure.
 """
 
 import math
@@ -21,56 +21,57 @@
 
 
 class SentRecord:
-    """What has left for backend servers on behalf of one request."""
+    """Records which calls of one request were sent and may have run."""
 
     def __init__(self) -> None:
-        self._any = False
+        self._any_sent = False
         self._unrepeatable: set[str] = set()
-        self._open: set[str] = set()
+        self._possibly_run: set[str] = set()
         self._lock = threading.Lock()
 
     @property
     def any(self) -> bool:
-        """Whether any byte left for a backend server."""
-        return self._any
+        """Whether any byte was sent to a backend server."""
+        return self._any_sent
 
     @property
-    def unrepeatable(self) -> bool:
+    def unrepeatable_may_have_run(self) -> bool:
         """Whether a call that may not be repeated may have run."""
         return bool(self._unrepeatable)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any attempt was sent that did not certainly fail to run."""
-        return bool(self._open)
+        """Whether an attempt was sent and is not known not to have run."""
+        return bool(self._possibly_run)
 
     def note_sending(self, attempt_id: str, repeatable: bool) -> None:
-        """Note that a call is about to be sent; called before the first byte."""
+        """Record an attempt that is about to be sent; called before the first byte."""
         with self._lock:
-            self._any = True
-            self._open.add(attempt_id)
+            self._any_sent = True
+            self._possibly_run.add(attempt_id)
             if not repeatable:
                 self._unrepeatable.add(attempt_id)
 
     def note_not_run(self, attempt_id: str) -> None:
-        """Note that an attempt has certainly not run; others may have."""
+        """Record that an attempt has certainly not run; other attempts may have."""
         with self._lock:
             self._unrepeatable.discard(attempt_id)
-            self._open.discard(attempt_id)
+            self._possibly_run.discard(attempt_id)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRecord:
     """One request.
 
-    :ivar in_force: the document that the request uses from end to end.
-    :ivar body: the caller's input, JSON data.
-    :ivar scope: cancels the request; holds its deadline.
-    :ivar admitted: is told the begin and end of each stage.
-    :ivar run_by: the clock's seconds after which no call that may not be repeated is
-        sent; the expiry of the ticket where there is one.
-    :ivar ask: the path under which a caller can ask what became of it.
-    :ivar fingerprint: tells the request from others over all its returns.
+    :ivar in_force: the document that the request uses from beginning to end.
+    :ivar body: the caller's input as JSON data.
+    :ivar scope: cancels the request and holds its deadline.
+    :ivar sent: the calls that were sent for the request.
+    :ivar admitted: records the beginning and end of each stage.
+    :ivar run_by: the time, in seconds of the clock, after which no call that may not be
+        repeated is sent; the expiry of the ticket if there is one.
+    :ivar ask: the path at which a caller can query the outcome of the request.
+    :ivar fingerprint: identifies the request, also when its caller sends it again.
     """
 
     request_id: str
@@ -87,16 +88,20 @@
 
     @property
     def is_streamable(self) -> bool:
-        """Whether the last stage generates, so that its answer can be streamed."""
+        """Whether an engine runs the last stage, so that its answer can be streamed."""
         last = self.pipeline.stages[-1]
         return self.in_force.services[last.service].kind == "engine"
 
     def outcome_of(self, failure: Failure, retry_after: float) -> Outcome:
-        """Return the true outcome of a request that could not be answered."""
-        if self.sent.unrepeatable:
+        """Return the outcome of a failed request, according to what was sent for it.
+
+        :param retry_after: the wait in seconds that is suggested to the caller unless
+            the failure itself names one.
+        """
+        if self.sent.unrepeatable_may_have_run:
             return Unknown(failure, self.ask)
         if isinstance(failure, RequestQuarantined):
-            # It has run, on servers that it crashed.
+            # The request has run, on the servers that it crashed.
             return Failed(failure, failure.left_seconds)
         if isinstance(failure, RequestSuspected | ServersBackedOff | ServersLimited):
             retry_after = failure.left_seconds
--- a/boragestream/serving/stage.py
+++ b/boragestream/serving/stage.py
@@ -1,7 +1,7 @@
-"""Runs one stage: takes a server, makes an attempt, tries again where that is safe.
+"""Runs one stage: chooses a server, makes an attempt and retries if that is safe.
 
-A call that may not be repeated is tried again only where it certainly was not run, and
-is never hedged. The order of the stages is left to ``serving.pipeline``.
+A call that may not be repeated is retried only if it certainly did not run, and is
+never hedged. ``serving.pipeline`` decides the order of the stages.
 """
 
 import math
@@ -47,6 +47,7 @@
 
 __all__ = ["StageRunner"]
 
+# The quantile of recent attempt times that counts as the usual time of a call.
 USUAL_QUANTILE = 0.5
 
 
@@ -54,7 +55,7 @@
 class StageRunner:
     """Runs stages.
 
-    :ivar parts: what the entry's requests share.
+    :ivar parts: the parts shared by all requests of the entry.
     """
 
     parts: ServingParts
@@ -62,13 +63,13 @@
     def run(
         self, request: RequestRecord, stage: Stage, stage_input: StageInput
     ) -> Any | Failure:
-        """Run a stage and return its result, JSON data, or why there is none."""
+        """Run a stage and return its result as JSON data, or its failure."""
         return self._run(self._stage_run(request, stage, stage_input, stream=False))
 
     def open_stream(
         self, request: RequestRecord, stage: Stage, stage_input: StageInput
     ) -> OpenAnswer | Failure:
-        """Run a generating stage up to the headers of its streamed answer."""
+        """Run an engine's stage up to the headers of its streamed answer."""
         return self._run(self._stage_run(request, stage, stage_input, stream=True))
 
     def _run(self, run: StageRun) -> Any | Failure:
@@ -82,11 +83,11 @@
         tried: set[str] = set()
         attempts = 0
         while True:
-            quarantined = run.guard.refusal()
-            if quarantined is not None:
-                return quarantined
+            quarantine_refusal = run.guard.refusal()
+            if quarantine_refusal is not None:
+                return quarantine_refusal
             purpose = Purpose.RETRY if attempts else Purpose.FIRST
-            attempt = self._take(run, purpose, tried)
+            attempt = self._reserve_attempt(run, purpose, tried)
             if isinstance(attempt, Failure):
                 return failure or attempt
             result = self._attempt(run, attempt, tried)
@@ -98,12 +99,15 @@
             failure = result
             if not self._may_retry(run, result, attempts):
                 return failure
-            self._pause_before_same(run, tried, attempts)
+            self._pause_before_reuse(run, tried, attempts)
 
-    def _take(
+    def _reserve_attempt(
         self, run: StageRun, purpose: Purpose, tried: set[str]
     ) -> AttemptRun | Failure:
-        """Take room on a server for an attempt."""
+        """Wait for room on a server and return an attempt, or why there is none.
+
+        The wait ends when the time left is less than the usual time of the call.
+        """
         service = run.stage.service
         live = self.parts.servers.live(service)
         if not live:
@@ -114,30 +118,32 @@
         scope = run.request.scope
         latest = scope.deadline - self._usual_seconds(run)
         limited = self.parts.limited
-        free, held = limited.limits.split(self._callable(run))
+        without_limit, with_limit = limited.limits.split(self._available_servers(run))
         left = latest - self.parts.clock.now()
-        if held and not free and limited.soonest(held) > left:
-            return limited.refusal(held)
+        if with_limit and not without_limit and limited.soonest(with_limit) > left:
+            return limited.refusal(with_limit)
         return self.parts.lines.of(service).take(
-            choose=lambda: self._choose(run, purpose, tried),
+            choose=lambda: self._choose_attempt(run, purpose, tried),
             latest=latest,
             cancelled=lambda: scope.reason is not None,
         )
 
-    def _choose(
+    def _choose_attempt(
         self, run: StageRun, purpose: Purpose, tried: set[str]
     ) -> AttemptRun | None:
         limited = self.parts.limited
-        free, held = limited.limits.split(self._callable(run))
-        server = limited.unasked(held)
-        server = server or self._route(run, [*free, *limited.ready(held)], tried)
-        chosen = limited.at_once(server) if server in held else None
+        without_limit, with_limit = limited.limits.split(self._available_servers(run))
+        server = limited.unasked(with_limit)
+        server = server or self._choose_server(
+            run, [*without_limit, *limited.ready(with_limit)], tried
+        )
+        chosen = limited.at_once(server) if server in with_limit else None
         if chosen is None:
-            server = self._route(run, free, tried)
+            server = self._choose_server(run, without_limit, tried)
             chosen = PermittedServer(server) if server is not None else None
         return AttemptRun(self.parts, run, chosen, purpose) if chosen else None
 
-    def _route(
+    def _choose_server(
         self, run: StageRun, servers: Sequence[Server], tried: set[str]
     ) -> Server | None:
         if not servers:
@@ -156,15 +162,15 @@
         return race(self.parts, first, delay, lambda: self._hedge(run, tried))
 
     def _hedge_delay(self, run: StageRun) -> float | None:
-        """Return when to hedge; None where no hedge could be launched anyway.
+        """Return the delay in seconds before a hedge; None if none could be sent.
 
-        Without a hedge the attempt runs in the request's own thread, which saves the
-        hand-over to another one; see bench/handover.py.
+        Without a hedge the attempt runs in the request's own thread, which avoids the
+        cost of passing it to another thread; see bench/handover.py.
         """
         if not run.call.repeatable or "hedging" in _policies(run).without:
             return None
         if run.guard.suspected:
-            # Two servers at once would be lost.
+            # A request that is suspected of crashing servers could crash two at once.
             return None
         service = run.stage.service
         if len(self.parts.servers.live(service)) == 1:
@@ -180,26 +186,26 @@
         service = run.stage.service
         if self.parts.lines.of(service).waiting:
             return None
-        server = self._choose_spare(run, tried)
+        server = self._choose_hedge_server(run, tried)
         if server is None or not self.parts.hedges.of(service).spend():
             return None
         tried.add(server.name)
         return AttemptRun(self.parts, run, PermittedServer(server), Purpose.HEDGE)
 
-    def _choose_spare(self, run: StageRun, tried: set[str]) -> Server | None:
+    def _choose_hedge_server(self, run: StageRun, tried: set[str]) -> Server | None:
         policies = _policies(run)
         need = RoutingNeed(frozenset(tried), None, policies.without)
-        # A server in need is no place for what can do without.
-        live, _ = self.parts.limited.limits.split(self._callable(run))
-        if not live:
+        # A hedge is optional, so it is never sent to a server with a limit.
+        without_limit, _ = self.parts.limited.limits.split(self._available_servers(run))
+        if not without_limit:
             return None
-        server = self.parts.routing[policies.routing].choose(live, need)
+        server = self.parts.routing[policies.routing].choose(without_limit, need)
         if server is None:
             return None
         load = self.parts.loads.get(server)
         return server if has_spare_room(load, self.parts.clock.now()) else None
 
-    def _callable(self, run: StageRun) -> Sequence[Server]:
+    def _available_servers(self, run: StageRun) -> Sequence[Server]:
         parts = self.parts
         return parts.backoffs.usable(parts.servers.live(run.stage.service))
 
@@ -221,8 +227,10 @@
         )
         return verdict is Retry.AGAIN
 
-    def _pause_before_same(self, run: StageRun, tried: set[str], attempts: int) -> None:
-        """Let servers be tried again, after a pause, where all have been."""
+    def _pause_before_reuse(
+        self, run: StageRun, tried: set[str], attempts: int
+    ) -> None:
+        """Pause and allow all servers to be tried again once each has been tried."""
         live = self.parts.servers.live(run.stage.service)
         if any(server.name not in tried for server in live):
             return
--- a/boragestream/serving/stage_pieces.py
+++ b/boragestream/serving/stage_pieces.py
@@ -1,8 +1,8 @@
-"""Takes a forwarded request through its stages, in the order of their needs.
+"""Runs the stages of a forwarded request in the order of their dependencies.
 
-A stage begins as soon as the results that it needs are there; stages that need nothing
-of one another run side by side. Results are given up as soon as nothing needs them any
-more. Who makes the pieces is left to ``serving.piece_orders``.
+A stage begins as soon as the results that it depends on have arrived; independent
+stages run concurrently. Results are released as soon as no stage needs them any more.
+``serving.piece_orders`` decides which entry makes the pieces.
 """
 
 import itertools
@@ -27,20 +27,24 @@
 from boragestream.serving.piece_failures import PieceFailed
 from boragestream.serving.piece_orders import OpenOrder, PieceOrders
 
-__all__ = ["StagePieces", "seconds_after"]
+__all__ = ["StagePieces", "lead_seconds"]
 
-# How full a batch is expected to be, to plan by.
+# The share of a batch's places that is assumed to be filled when the usual time of a
+# stage is estimated.
 EXPECTED_FILL = 0.6
-WAKE_SECONDS = 0.1
+# Interval of the checks of cancellation, deadline and owners while no result arrives.
+POLL_SECONDS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class StagePieces:
     """Runs the stages of requests.
 
-    :ivar bookings: asks for places in the queues of the later stages.
+    :ivar bookings: books places in the queues of the later stages.
     :ivar quarantine: which requests crash servers.
-    :ivar numbers: tells the orders of one request apart that are made again.
+    :ivar numbers: makes order ids unique when the stages of a request run again.
+    :ivar delays: how long stages have recently taken, waits included, by service.
+    :ivar engines: how long engines have recently taken to their first event, by route.
     """
 
     orders: PieceOrders
@@ -55,7 +59,7 @@
     def run(
         self, run: ForwardedRun, home: str = ""
     ) -> tuple[StageResult, ...] | Failure:
-        """Run all stages; return the results that the last call reads.
+        """Run all stages and return the results that the engine's call reads.
 
         :param home: the data centre of the engine that will most likely read them;
             empty for any.
@@ -65,13 +69,13 @@
         return _StageRun(self, run, home).finish()
 
     def release(self, results: tuple[StageResult, ...]) -> None:
-        """Give results up once nothing needs them any more."""
+        """Release results that are no longer needed."""
         if results:
             self.orders.release([result.handle for result in results])
 
 
 class _StageRun:
-    """The stages of one request under way."""
+    """One run of the stages of a request."""
 
     def __init__(self, stages: StagePieces, run: ForwardedRun, home: str) -> None:
         self._stages = stages
@@ -81,21 +85,21 @@
         self._results: dict[int, tuple[StageResult, ...]] = {}
         self._open: dict[int, OpenOrder] = {}
         self._released: set[int] = set()
-        self._done: list[dict[str, object]] = []
+        self._stage_reports: list[dict[str, object]] = []
         engine_seconds = stages.engines.expected(run.route.name)
-        self._after = seconds_after(run, stages.delays, engine_seconds)
+        self._lead_seconds = lead_seconds(run, stages.delays, engine_seconds)
         self._order_ids = {
             number: f"{run.request.request_id}/{number}/{next(stages.numbers)}"
             for number in range(len(run.route.stages))
         }
-        # What is booked and not yet ordered, by stage.
+        # The bookings whose orders have not been sent, by stage.
         self._booked: dict[int, BookedOrder] = {}
 
     def finish(self) -> tuple[StageResult, ...] | Failure:
-        """Run until every stage is done or one has failed."""
+        """Run until every stage is done or one has failed; return the last results."""
         failure: Failure | None = None
         try:
-            failure = self._quarantined() or self._book_later_stages()
+            failure = self._quarantine_refusal() or self._book_later_stages()
             while failure is None and len(self._results) < len(self._run.route.stages):
                 failure = self._begin_ready() or self._wait()
         finally:
@@ -103,7 +107,7 @@
                 self._stages.orders.end(opened)
             for booked in self._booked.values():
                 self._stages.bookings.cancel(booked)
-        self._log(failure)
+        self._log_end(failure)
         if failure is not None:
             for number, results in self._results.items():
                 if number not in self._released:
@@ -112,33 +116,33 @@
         last = _last_stages(self._run.route)
         return tuple(r for number in last for r in self._results[number])
 
-    def _log(self, failure: Failure | None) -> None:
+    def _log_end(self, failure: Failure | None) -> None:
         run = self._run
         slack = run.objective_at - self._stages.clock.now()
         emit(
             Event.STAGES_DONE,
             request=run.request.request_id,
             version=run.table.version,
-            stages=self._done,
+            stages=self._stage_reports,
             slack_ms=int(slack * 1000),
             failure=failure.describe() if failure is not None else None,
         )
 
-    def _quarantined(self) -> Failure | None:
-        """Return why the servers of one of its stages may not be sent the request."""
+    def _quarantine_refusal(self) -> Failure | None:
+        """Return the quarantine's refusal of any stage; None if all are admitted."""
         run = self._run
         if self._stages.quarantine.empty:
             return None
         for number, stage in enumerate(run.route.stages):
             if self._piece_count(number):
-                of = stage_fingerprint(run.fingerprint, stage.service)
-                held = self._stages.quarantine.admit(of, was_cut=True)
-                if held is not None:
-                    return held
+                fingerprint = stage_fingerprint(run.fingerprint, stage.service)
+                refusal = self._stages.quarantine.admit(fingerprint, was_cut=True)
+                if refusal is not None:
+                    return refusal
         return None
 
     def _book_later_stages(self) -> Failure | None:
-        """Book every stage that waits for others, the last one first."""
+        """Book every stage that depends on others, the last one first."""
         run = self._run
         for number, stage in reversed(list(enumerate(run.route.stages))):
             count = self._piece_count(number)
@@ -155,7 +159,7 @@
                 run.priority,
                 run.regions or frozenset(),
             )
-            start_by = run.objective_at - self._after[number]
+            start_by = run.objective_at - self._lead_seconds[number]
             deadline = run.scope.deadline
             booked = self._stages.bookings.book(booking, start_by, deadline)
             if isinstance(booked, Failure):
@@ -166,8 +170,8 @@
 
     def _begin_ready(self) -> Failure | None:
         for number, stage in enumerate(self._run.route.stages):
-            known = number in self._results or number in self._open
-            if known or any(n not in self._results for n in stage.after):
+            begun = number in self._results or number in self._open
+            if begun or any(n not in self._results for n in stage.after):
                 continue
             count = self._piece_count(number)
             if count == 0:
@@ -181,8 +185,8 @@
 
     def _begin(self, number: int, count: int) -> Failure | None:
         run, stage = self._run, self._run.route.stages[number]
-        read = tuple(r for n in stage.after for r in self._results[n])
-        inputs = tuple(result.handle for result in read)
+        needed = tuple(r for n in stage.after for r in self._results[n])
+        inputs = tuple(result.handle for result in needed)
         request_id = run.request.request_id
         key = run.request.piece_key
         pieces = tuple(Piece(request_id, number, n, key, inputs) for n in range(count))
@@ -193,12 +197,12 @@
             result_bytes=stage.result_bytes,
             priority=run.priority,
             invested=bool(inputs),
-            near=stage_place(read, count, stage.result_bytes, self._home),
+            near=stage_place(needed, count, stage.result_bytes, self._home),
             regions=run.regions or frozenset(),
             fingerprint=stage_fingerprint(run.fingerprint, stage.service),
         )
-        start_by = run.objective_at - self._after[number]
-        # The order takes its booking's place.
+        start_by = run.objective_at - self._lead_seconds[number]
+        # The order replaces its booking in the queue, so the booking is not cancelled.
         self._booked.pop(number, None)
         opened = self._stages.orders.begin(order, start_by, run.scope, self._changed)
         if isinstance(opened, Failure):
@@ -207,7 +211,7 @@
         return None
 
     def _wait(self) -> Failure | None:
-        self._changed.wait(WAKE_SECONDS)
+        self._changed.wait(POLL_SECONDS)
         self._changed.clear()
         run = self._run
         if run.scope.reason is not None:
@@ -218,7 +222,7 @@
             if opened.fault is not None:
                 return PieceFailed(opened.order.service, opened.fault)
             if not opened.finished:
-                failure = self._stages.orders.ask_again(opened, run.scope)
+                failure = self._stages.orders.check_owner(opened, run.scope)
                 if failure is not None:
                     return failure
                 continue
@@ -227,7 +231,7 @@
             usual = usual_seconds(self._run, opened.order.service)
             self._stages.delays.note(opened.order.service, took, usual)
             self._stages.metrics.stage_ended(opened.order.service, took)
-            self._done.append(
+            self._stage_reports.append(
                 {
                     "stage": number,
                     "service": opened.order.service,
@@ -254,35 +258,38 @@
         return counts[number] if number < len(counts) else 0
 
 
-def seconds_after(
+def lead_seconds(
     run: ForwardedRun, delays: StageDelays, engine_seconds: float
 ) -> dict[int, float]:
-    """Return how long before the objective each stage must begin, in seconds.
+    """Return how many seconds before the objective each stage must begin.
 
-    Of the stage itself its work alone counts; of those behind it their waits as well.
+    For the stage itself only its usual time counts; for the stages after it their
+    expected waits count as well.
 
-    :param engine_seconds: kept back for the engine behind the last stage.
+    :param engine_seconds: the time reserved for the engine after the last stage.
     """
     stages = run.route.stages
-    after: dict[int, float] = {}
-    # From the beginning of a stage's wait to the objective.
-    whole: dict[int, float] = {}
+    leads: dict[int, float] = {}
+    # The same, measured from the beginning of the stage's wait in the queue.
+    leads_with_wait: dict[int, float] = {}
     for number in reversed(range(len(stages))):
         followers = [
-            n for n, s in enumerate(stages) if number in s.after and n in whole
+            n
+            for n, s in enumerate(stages)
+            if number in s.after and n in leads_with_wait
         ]
-        rest = max((whole[n] for n in followers), default=engine_seconds)
+        rest = max((leads_with_wait[n] for n in followers), default=engine_seconds)
         service = stages[number].service
         usual = usual_seconds(run, service)
-        after[number] = rest + usual
-        whole[number] = rest + delays.expected(service, usual)
-    return after
+        leads[number] = rest + usual
+        leads_with_wait[number] = rest + delays.expected(service, usual)
+    return leads
 
 
 def usual_seconds(run: ForwardedRun, service: str) -> float:
-    """Return how long a stage of a service usually takes on an idle server."""
-    known = run.table.services.get(service)
-    limits = known.pieces if known is not None else None
+    """Return the usual seconds of a stage on an idle server; 0 if unknown."""
+    published = run.table.services.get(service)
+    limits = published.pieces if published is not None else None
     if limits is None:
         return 0.0
     return limits.call_seconds + EXPECTED_FILL * limits.batch * limits.piece_seconds
--- a/tests/features/steps/drained_centres.py
+++ b/tests/features/steps/drained_centres.py
@@ -271,7 +271,7 @@
     def submit(self, work, *arguments):
         """Take a call."""
 
-    def look_again(self):
+    def check_overdue_calls(self):
         """Look for overdue calls; there are none."""
 
 
--- a/tests/features/steps/piece_repeats.py
+++ b/tests/features/steps/piece_repeats.py
@@ -57,7 +57,7 @@
     def release(self, server, handles):
         """Take that results are given up."""
 
-    def look_again(self):
+    def check_overdue_calls(self):
         """Look for overdue calls; there are none."""
 
 
--- a/tests/features/steps/route_decisions.py
+++ b/tests/features/steps/route_decisions.py
@@ -330,7 +330,7 @@
 @then('the order is asked after at "{name}", and a new one elsewhere')
 def step(context, name):
     context.clock.seconds += 1.0
-    assert context.orders.ask_again(context.order, context.scope) is None
+    assert context.orders.check_owner(context.order, context.scope) is None
     assert context.links.asked[-1] == name
     place(context, "order-2")
     assert context.links.asked[-1] != name
@@ -344,5 +344,5 @@
 @then("the order is asked after elsewhere")
 def step(context):
     context.clock.seconds += 1.0
-    context.orders.ask_again(context.order, context.scope)
+    context.orders.check_owner(context.order, context.scope)
     assert context.links.asked[-1] in context.live
