--- a/boragestream/serving/piece_batches.py
+++ b/boragestream/serving/piece_batches.py
@@ -87,10 +87,10 @@
         usable = self._usable_servers(order.service)
         with self._lock:
             queue = self._queue(order.service)
-            known = order.order_id in queue.orders
+            already_queued = order.order_id in queue.orders
             wait = queue.submit(queued, limits, usable, now)
         if wait is None:
-            if not known:
+            if not already_queued:
                 self._parts.retries.note_request(order.service, len(order.pieces))
             self._send_batches(order.service)
         return wait
@@ -346,9 +346,9 @@
         :param ran: whether the call may have run.
         """
         service = queued.order.service
-        crashes = self._parts.quarantine.known(queued.order.fingerprint)
-        queued.suspected = crashes.crashes > 0
-        if crashes.quarantined:
+        record = self._parts.quarantine.known(queued.order.fingerprint)
+        queued.suspected = record.crashes > 0
+        if record.quarantined:
             return False
         if done is None:
             return not ran or self._parts.retries.spend(service)
--- a/boragestream/serving/piece_bookings.py
+++ b/boragestream/serving/piece_bookings.py
@@ -92,9 +92,9 @@
             message.priority,
             frozenset(message.regions),
         )
-        refused = self._batches.book(
+        wait = self._batches.book(
             booking, message.start_ms / 1000, message.left_ms / 1000
         )
-        if refused is None:
+        if wait is None:
             return PiecesAnswer(taken=True)
-        return PiecesAnswer(taken=False, wait_ms=milliseconds(refused))
+        return PiecesAnswer(taken=False, wait_ms=milliseconds(wait))
--- a/boragestream/serving/piece_orders.py
+++ b/boragestream/serving/piece_orders.py
@@ -107,10 +107,10 @@
         opened = OpenOrder(order, start_by, changed, numbers, began)
         with self._lock:
             self._open[order.order_id] = opened
-        refused = self._place(opened, scope)
-        if refused is not None:
+        refusal = self._place(opened, scope)
+        if refusal is not None:
             self._forget(opened)
-            return refused
+            return refusal
         return opened
 
     def check_owner(self, opened: OpenOrder, scope: CancelScope) -> Failure | None:
@@ -202,18 +202,21 @@
         )
         with self._lock:
             self._requesters[message.order_id] = envelope.sender
-        refused = self._batches.submit(
+        wait = self._batches.submit(
             order, message.start_ms / 1000, message.left_ms / 1000
         )
-        if refused is None:
+        if wait is None:
             return PiecesAnswer(taken=True)
-        return PiecesAnswer(taken=False, wait_ms=milliseconds(refused))
+        return PiecesAnswer(taken=False, wait_ms=milliseconds(wait))
 
     def answer_done(self, envelope: Envelope, message: PiecesDone) -> ProbeReply:
         """Record results that an owner sent."""
         results = [
-            (number, PieceResult(handle, PieceFault[fault] if fault else None, place))
-            for number, handle, fault, place in message.results
+            (
+                number,
+                PieceResult(handle, PieceFault[fault] if fault else None, data_centre),
+            )
+            for number, handle, fault, data_centre in message.results
         ]
         self.receive_results(envelope.sender, message.order_id, results)
         return ProbeReply(0)
--- a/boragestream/serving/request.py
+++ b/boragestream/serving/request.py
@@ -41,7 +41,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an attempt was sent and is not known not to have run."""
+        """Whether any attempt that was sent may have run."""
         return bool(self._possibly_run)
 
     def note_sending(self, attempt_id: str, repeatable: bool) -> None:
--- a/tests/features/steps/piece_queue.py
+++ b/tests/features/steps/piece_queue.py
@@ -1,4 +1,4 @@
-"""Steps on the queue of pieces, without a process."""
+"""Steps that check the queue of pieces; no process is started."""
 
 import math
 from dataclasses import replace
@@ -25,13 +25,13 @@
 
 
 def order(name, count=1, priority=0, invested=False, near=""):
-    """Return an order of some pieces."""
+    """Return an order of ``count`` pieces."""
     pieces = tuple(Piece(name, 0, n, f"key-{name}", ()) for n in range(count))
     return PieceOrder(name, "service", pieces, RESULT_BYTES, priority, invested, near)
 
 
 def queued(made, start_by):
-    """Return an order in the queue."""
+    """Return an order as it is stored in the queue."""
     return QueuedOrder(made, start_by, start_by + 10, list(made.pieces))
 
 
@@ -113,7 +113,7 @@
 
 
 def batches(context, now):
-    """Return what the server is given."""
+    """Return the batches that the server is sent next."""
     queue = context.service_queue
     return queue.next_batches(context.limits, [context.server], now)
 
@@ -170,7 +170,7 @@
 
 
 def book(context, priority=0, more=0.0):
-    """Book the next chain; return the wait with which it is refused."""
+    """Book the next chain; return the expected wait in seconds if it is refused."""
     context.chains += 1
     booking = PieceBooking(
         f"chain-{context.chains}",
--- a/tests/features/steps/route_decisions.py
+++ b/tests/features/steps/route_decisions.py
@@ -1,4 +1,4 @@
-"""Steps on the decisions about forwarded calls, without a process."""
+"""Steps that check decisions about forwarded calls; no process is started."""
 
 import random
 import threading
@@ -176,7 +176,7 @@
 
 
 def prompt(shared, own):
-    """Return a prompt of a beginning, a shared part and a part of its own."""
+    """Return a prompt of a common part, a shared part and an individual part."""
     parts = (("all", 100), (shared, 3000), (own, 900))
     return tuple(PromptPart(identity, tokens) for identity, tokens in parts)
 
@@ -289,36 +289,36 @@
     assert abs(resources.capacity - capacity) < 1e-9
 
 
-class AskedLinks:
-    """Links that take every order and note whom it went to."""
+class RecordingLinks:
+    """Links that accept every order and record the entry that it was sent to."""
 
     def __init__(self):
-        """Begin with nobody asked."""
-        self.asked = []
+        """Initialise without any recorded entries."""
+        self.addresses = []
 
     def ask(self, address, message, seconds):
-        """Take an order."""
-        self.asked.append(address)
+        """Accept an order."""
+        self.addresses.append(address)
         return PiecesAnswer(taken=True)
 
 
 def place(context, order_id):
-    """Place an order and return it."""
+    """Place an order; return it with its cancel scope."""
     piece = Piece("r-1", 0, 0, "key", ())
-    made = PieceOrder(order_id, "service", (piece,), 1.0, 0, False)
+    order = PieceOrder(order_id, "service", (piece,), 1.0, 0, False)
     scope = CancelScope(context.clock.seconds + 100)
-    return context.orders.begin(made, 0.0, scope, threading.Event()), scope
+    return context.orders.begin(order, 0.0, scope, threading.Event()), scope
 
 
 @given('an entry that placed an order when "{name}" was the only other entry')
 def step(context, name):
     context.clock = SetClock()
     context.live = [name]
-    context.links = AskedLinks()
+    context.links = RecordingLinks()
     owners = OwnerLinks("own", lambda: list(context.live), context.links, context.clock)
     context.orders = PieceOrders(owners, context.clock)
     context.order, context.scope = place(context, "order-1")
-    assert context.links.asked == [name]
+    assert context.links.addresses == [name]
 
 
 @when('entries come that rank before "{name}"')
@@ -331,9 +331,9 @@
 def step(context, name):
     context.clock.seconds += 1.0
     assert context.orders.check_owner(context.order, context.scope) is None
-    assert context.links.asked[-1] == name
+    assert context.links.addresses[-1] == name
     place(context, "order-2")
-    assert context.links.asked[-1] != name
+    assert context.links.addresses[-1] != name
 
 
 @when('"{name}" is gone')
@@ -345,4 +345,4 @@
 def step(context):
     context.clock.seconds += 1.0
     context.orders.check_owner(context.order, context.scope)
-    assert context.links.asked[-1] in context.live
+    assert context.links.addresses[-1] in context.live
--- a/tests/features/steps/serving_pipeline.py
+++ b/tests/features/steps/serving_pipeline.py
@@ -1,4 +1,4 @@
-"""Steps that call pipelines and look at the outcome."""
+"""Steps that call pipelines and check their outcomes."""
 
 from behave import then, when
 
@@ -11,7 +11,7 @@
 
 @when('a caller with the key "{key}" calls "{pipeline}" with "{text}"')
 def call(context, key, pipeline, text, **options):
-    """Call a pipeline and keep the reply."""
+    """Call a pipeline and store the reply in the context."""
     client = Client(key, context.fleet.addresses())
     address = options.pop("address", context.fleet.addresses()[0])
     context.reply = client.call(pipeline, text, address=address, **options)
@@ -67,7 +67,7 @@
 
 
 def repeat(context, account, pipeline, text, count, stream):
-    """Make the same call several times and keep every reply."""
+    """Make the same call several times and add all replies to the context."""
     replies = getattr(context, "replies", [])
     for _ in range(count):
         call(context, example_key(account), pipeline, text, stream=stream)
--- a/tests/features/steps/serving_request.py
+++ b/tests/features/steps/serving_request.py
@@ -1,4 +1,4 @@
-"""Steps on the record of what was sent for a request."""
+"""Steps that check the record of the calls sent for a request."""
 
 from behave import given, then, when
 
--- a/tests/features/steps/serving_stage.py
+++ b/tests/features/steps/serving_stage.py
@@ -1,4 +1,4 @@
-"""Steps that make backend servers fail or straggle and look at their calls."""
+"""Steps that make backend servers fail or respond slowly and check their calls."""
 
 from collections import Counter
 from concurrent.futures import ThreadPoolExecutor
@@ -10,8 +10,8 @@
 from tests.standins.fleet import wait_until
 from tests.standins.sites import example_key
 
-MOST_ROUNDS = 50
-CALLS_SIDE_BY_SIDE = 8
+MAX_ROUNDS = 50
+CONCURRENT_CALLS = 8
 FAULT_SECONDS = 1.5
 TOKENS = 8
 PREFIX = "Namaste, dear member. " * 40
@@ -28,20 +28,20 @@
 
 
 def prefix_misses(context):
-    """Return how many prefixes each server had to learn."""
+    """Return the number of prefixes that missed each server's cache."""
     runs = context.fleet.runs()
     return Counter({name: run["prefix_misses"] for name, run in runs.items()})
 
 
 @then('one "{service}" alone had to learn the prefix')
 def step(context, service):
-    learnt = prefix_misses(context) - context.misses_before
-    assert learnt.total() == 1 and min(learnt).startswith(service), learnt
+    misses = prefix_misses(context) - context.misses_before
+    assert misses.total() == 1 and min(misses).startswith(service), misses
 
 
 @given("a document whose budget of hedges is never spent")
 def step(context):
-    # Every call that is slow by chance takes from the budget, too.
+    # Calls that are slow by chance also spend the budget.
     document = dict(context.fleet.document, version=2)
     document["policies"] = {"hedge_share": 1.0, "cost_weight": 0.0}
     context.fleet.publish(document)
@@ -50,18 +50,19 @@
 
 @when('"{server}" has the fault "{fault}" for one call of "{pipeline}"')
 def step(context, server, fault, pipeline):
-    call_until_struck(context, server, fault, pipeline, stream=False)
+    call_until_fault_hit(context, server, fault, pipeline, stream=False)
 
 
 @when('"{server}" has the fault "{fault}" for one stream of "{pipeline}"')
 def step(context, server, fault, pipeline):
-    call_until_struck(context, server, fault, pipeline, stream=True)
+    call_until_fault_hit(context, server, fault, pipeline, stream=True)
 
 
-def call_until_struck(context, server, fault, pipeline, stream):
-    """Give a server one fault, and call until it has run a call; keep every reply.
+def call_until_fault_hit(context, server, fault, pipeline, stream):
+    """Inject a fault into a server, then call until it has run a call.
 
-    An idle entry keeps to its nearest server; calls side by side reach the others.
+    An idle entry uses only its nearest server, so calls are made concurrently in order
+    to reach the others. All replies are added to the context.
     """
     client = Client(example_key("members-web"), context.fleet.addresses())
     address = context.fleet.addresses()[0]
@@ -75,9 +76,9 @@
         context.replies.append(reply)
         context.inputs[reply.request_id] = text
 
-    with ThreadPoolExecutor(CALLS_SIDE_BY_SIDE) as callers:
-        for number in range(MOST_ROUNDS):
-            texts = [f"{server} {number} {i}" for i in range(CALLS_SIDE_BY_SIDE)]
+    with ThreadPoolExecutor(CONCURRENT_CALLS) as callers:
+        for number in range(MAX_ROUNDS):
+            texts = [f"{server} {number} {i}" for i in range(CONCURRENT_CALLS)]
             list(callers.map(call, texts))
             if attempts(context, server) > before:
                 return
@@ -85,7 +86,7 @@
 
 
 def attempts(context, server):
-    """Return how many attempts a server has begun."""
+    """Return the number of attempts that a server has begun."""
     return len(context.fleet.runs()[server]["attempts"])
 
 
