--- a/boragestream/policy/admission.py
+++ b/boragestream/policy/admission.py
@@ -1,9 +1,9 @@
-"""Decides at the door whether a request may begin, and when.
+"""Admission control: decides whether and when an arriving request may begin.
 
-A refusal here is true by construction: nothing of the request has left for any
-backend server yet. A request begins when the window of every service of its pipeline
-has room; until then it waits in a fair queue that is bounded by the time it holds.
-Who runs the stages, and where, is left to ``serving``.
+A request that is refused here has certainly not run, since no byte of it has been sent
+to a backend server. A request begins when the window of every service of its pipeline
+has room. Until then it waits in a fair queue, whose length is bounded by the expected
+wait. ``serving`` runs the stages and chooses the servers.
 """
 
 import random
@@ -30,18 +30,18 @@
 
 __all__ = ["Admission"]
 
-# A queue that used up all the time there is would leave none for an error of the
-# estimate, and every error is a late answer.
+# The share of a request's slack that a longer queue may use. The rest is a margin for
+# errors of the estimate, each of which would otherwise make an answer late.
 WAIT_SHARE = 0.5
-SHORT_QUEUE = 3
+BURST_QUEUE_LENGTH = 3
 MAX_WAIT_SECONDS = 2.0
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class QueuedRequest:
     """A request in the queue.
 
-    :ivar verdict: what became of it; None while it waits.
+    :ivar verdict: the admission or the refusal; None while the request waits.
     """
 
     candidate: Candidate
@@ -50,12 +50,12 @@
 
 
 class Admission:
-    """The door of an entry.
+    """The admission control of an entry.
 
-    :param limit: the most requests in hand at once, waiting ones included; each
-        holds a thread.
-    :param gate: holds the client accounts' own limits.
-    :param share: returns this entry's share of a service's slots; 0 for not known.
+    :param limit: the maximum number of requests in progress, waiting ones included;
+        each occupies a thread.
+    :param gate: enforces the limits of the client accounts.
+    :param share: returns this entry's share of a service's slots; 0 if unknown.
     """
 
     def __init__(
@@ -71,31 +71,31 @@
         self._gate = gate or OpenGate()
         self._expected = Expectations(rng)
         self._windows = ServiceWindows(self._expected.times, share)
-        self._queue: FairQueue[Waiting] = FairQueue()
+        self._queue: FairQueue[QueuedRequest] = FairQueue()
         self._pipelines: dict[str, Pipeline] = {}
         self._in_hand = 0
         self._closed = False
-        self._windows_hold = True
+        self._windows_enforced = True
         self._lock = threading.Lock()
 
     @property
     def times(self) -> StageTimes:
-        """The measured times of the stages."""
+        """The measured durations of the stages."""
         return self._expected.times
 
     @property
     def in_hand(self) -> int:
-        """How many requests have come in and not ended, waiting ones included."""
+        """The number of requests in progress, waiting ones included."""
         return self._in_hand
 
     @property
     def queued(self) -> int:
-        """How many requests wait."""
+        """The number of requests that wait."""
         return len(self._queue)
 
     @property
     def load(self) -> float:
-        """How much of what this entry can take is in use, 0 to 1."""
+        """The used share of this entry's capacity, 0 to 1."""
         with self._lock:
             if len(self._queue):
                 return 1.0
@@ -103,24 +103,24 @@
             return min(1.0, max([*used, self._in_hand / self._limit]))
 
     def windows(self) -> dict[str, tuple[int, int]]:
-        """Return the limit and the use of every service's window, for status pages."""
+        """Return limit and usage of each service's window, for status pages."""
         with self._lock:
             return self._windows.used()
 
     def enter(self, candidate: Candidate) -> Admitted | Refused:
-        """Admit a request, at once or after a wait, or say why not.
+        """Admit a request, at once or after a wait, or return a refusal.
 
-        ``leave`` must follow an admission.
+        Each admitted request must be passed to ``leave`` when it has ended.
         """
         now = self._clock.now()
         with self._lock:
-            refused = self._refuse(candidate, now)
+            refused = self._refusal(candidate, now)
             if refused is not None:
                 return refused
-            waiting = Waiting(candidate)
+            waiting = QueuedRequest(candidate)
             self._in_hand += 1
-            self._push(waiting, now)
-            self._begin_next(now)
+            self._enqueue(waiting, now)
+            self._admit_queued(now)
             verdict = waiting.verdict
         if verdict is not None:
             return verdict
@@ -128,51 +128,53 @@
         waiting.decided.wait(max(0.0, latest - now))
         with self._lock:
             if waiting.verdict is None:
-                self._remove(waiting)
-                self._drop(waiting, self._cannot(candidate, self._clock.now()))
+                self._dequeue(waiting)
+                self._reject(
+                    waiting, self._deadline_refusal(candidate, self._clock.now())
+                )
             return waiting.verdict
 
     def leave(self, admitted: Admitted) -> None:
-        """Count an admitted request that has ended."""
+        """Record that an admitted request has ended."""
         with self._lock:
             now = self._clock.now()
-            self._windows.give_up(admitted)
+            self._windows.release_all(admitted)
             self._expected.end(admitted.candidate.pipeline, now)
-            self._out(admitted.candidate)
-            self._begin_next(now)
+            self._count_end(admitted.candidate)
+            self._admit_queued(now)
 
     def look_again(self) -> None:
-        """Begin what may begin now that more is known of the servers' slots."""
+        """Admit waiting requests after the known slots of the servers have changed."""
         with self._lock:
-            self._begin_next(self._clock.now())
+            self._admit_queued(self._clock.now())
 
     def retry_after(self, pipeline: Pipeline) -> float:
-        """Return when a caller of a pipeline shall come back, in seconds."""
+        """Return the seconds after which a caller of a pipeline should retry."""
         with self._lock:
             return self._retry_after(pipeline, self._clock.now())
 
     def retry_unknown(self) -> float:
-        """Return when to come back where nothing is known of the backlog."""
+        """Return the seconds until a retry if the backlog is unknown."""
         return self._expected.retry_unknown()
 
     def close(self) -> None:
-        """Admit nothing more."""
+        """Stop admitting requests."""
         with self._lock:
             self._closed = True
 
-    def _refuse(self, candidate: Candidate, now: float) -> Refused | None:
-        """Say why a request is refused at the door; None where it may come in."""
+    def _refusal(self, candidate: Candidate, now: float) -> Refused | None:
+        """Return the refusal of an arriving request; None if it may be queued."""
         if self._closed:
             return Refused(EntryLeaving(), self._expected.retry_elsewhere())
         pipeline = candidate.pipeline
         self._pipelines[pipeline.name] = pipeline
-        self._windows_hold = candidate.uses("admission")
-        if self._windows_hold:
+        self._windows_enforced = candidate.uses("admission")
+        if self._windows_enforced:
             wait = self._expected_wait(candidate, now)
-            left = self._left(candidate, now)
-            if left < 0 or wait > self._longest_wait(candidate, left):
-                return self._cannot(candidate, now, wait)
-        if self._in_hand >= self._limit and not self._push_out(candidate, now):
+            left = self._slack(candidate, now)
+            if left < 0 or wait > self._max_wait(candidate, left):
+                return self._deadline_refusal(candidate, now, wait)
+        if self._in_hand >= self._limit and not self._evict_for(candidate, now):
             failure = QueueFull(self._in_hand)
             return Refused(failure, self._retry_after(pipeline, now))
         over = candidate.uses("account-limits") and self._gate.enter(candidate.account)
@@ -180,62 +182,67 @@
             return None
         return Refused(over[0], self._expected.retry_about(over[1]))
 
-    def _cannot(self, candidate: Candidate, now: float, wait: float = 0.0) -> Refused:
+    def _deadline_refusal(
+        self, candidate: Candidate, now: float, wait: float = 0.0
+    ) -> Refused:
         left = candidate.deadline - now
         needed = wait + self._expected.needed(candidate.pipeline, now)
         failure = CannotMeetDeadline(int(left * 1000), int(needed * 1000))
         return Refused(failure, self._retry_after(candidate.pipeline, now))
 
-    def _push_out(self, candidate: Candidate, now: float) -> bool:
-        """Make room by dropping from the account that holds most for its weight."""
-        mine, weight = self._account(candidate)
+    def _evict_for(self, candidate: Candidate, now: float) -> bool:
+        """Refuse a request of the account with the most requests for its weight.
+
+        :returns: whether a request was refused to make room for the candidate.
+        """
+        own, weight = self._account_and_weight(candidate)
         name, load = self._queue.heaviest()
-        queued = self._queue.queued(mine, self._pipelines)
-        if not name or name == mine or load <= (queued + 1) / weight:
+        queued = self._queue.queued(own, self._pipelines)
+        if not name or name == own or load <= (queued + 1) / weight:
             return False
-        latest = self._queue.take_latest(name)
+        latest = self._queue.pop_latest(name)
         failure = QueueFull(self._in_hand)
         retry_after = self._retry_after(latest.candidate.pipeline, now)
-        self._drop(latest, Refused(failure, retry_after))
+        self._reject(latest, Refused(failure, retry_after))
         return True
 
-    def _push(self, waiting: Waiting, now: float) -> None:
+    def _enqueue(self, waiting: QueuedRequest, now: float) -> None:
         candidate = waiting.candidate
-        account, weight = self._account(candidate)
+        account, weight = self._account_and_weight(candidate)
         fair = candidate.uses("fair-queue")
         order = candidate.deadline if fair else now
         self._queue.push(account, weight, candidate.pipeline.name, order, waiting)
 
-    def _remove(self, waiting: Waiting) -> None:
-        account, _ = self._account(waiting.candidate)
+    def _dequeue(self, waiting: QueuedRequest) -> None:
+        account, _ = self._account_and_weight(waiting.candidate)
         self._queue.remove(account, waiting.candidate.pipeline.name, waiting)
 
-    def _drop(self, waiting: Waiting, verdict: Refused) -> None:
-        self._out(waiting.candidate)
+    def _reject(self, waiting: QueuedRequest, verdict: Refused) -> None:
+        self._count_end(waiting.candidate)
         waiting.verdict = verdict
         waiting.decided.set()
 
-    def _out(self, candidate: Candidate) -> None:
+    def _count_end(self, candidate: Candidate) -> None:
         self._in_hand -= 1
         if candidate.uses("account-limits"):
             self._gate.leave(candidate.account)
 
-    def _begin_next(self, now: float) -> None:
-        """Begin what may begin, and drop what can't be answered in time any more."""
+    def _admit_queued(self, now: float) -> None:
+        """Admit waiting requests; refuse those that can't meet their deadlines."""
         while True:
             waiting = self._queue.pop(self._can_begin, self._cost)
             if waiting is None:
                 return
             candidate = waiting.candidate
             if candidate.gone is not None and candidate.gone():
-                self._drop(waiting, Refused(CallerGone()))
-            elif candidate.uses("admission") and self._too_late(candidate, now):
-                self._drop(waiting, self._cannot(candidate, now))
+                self._reject(waiting, Refused(CallerGone()))
+            elif candidate.uses("admission") and self._is_too_late(candidate, now):
+                self._reject(waiting, self._deadline_refusal(candidate, now))
             else:
-                waiting.verdict = self._begin(candidate, now)
+                waiting.verdict = self._admit(candidate, now)
                 waiting.decided.set()
 
-    def _begin(self, candidate: Candidate, now: float) -> Admitted:
+    def _admit(self, candidate: Candidate, now: float) -> Admitted:
         admitted = Admitted(
             candidate, now, self._clock.now, self._stage_ended, self._stage_deadline
         )
@@ -243,57 +250,56 @@
         self._expected.begin(candidate.pipeline)
         return admitted
 
-    def _too_late(self, candidate: Candidate, now: float) -> bool:
-        return self._left(candidate, now) < 0
+    def _is_too_late(self, candidate: Candidate, now: float) -> bool:
+        return self._slack(candidate, now) < 0
 
     def _can_begin(self, name: str) -> bool:
         pipeline = self._pipelines[name]
         now = self._clock.now()
-        return not self._windows_hold or self._windows.open_for(pipeline, now)
+        return not self._windows_enforced or self._windows.open_for(pipeline, now)
 
     def _cost(self, name: str) -> float:
         return self._expected.cost(self._pipelines[name], self._clock.now())
 
-    def _account(self, candidate: Candidate) -> tuple[str, float]:
+    def _account_and_weight(self, candidate: Candidate) -> tuple[str, float]:
         if not candidate.uses("fair-queue"):
             return "", 1.0
         account = candidate.account
         priority = account.priority + candidate.pipeline.priority
         return account.name, account_weight(account.weight, priority)
 
-    def _left(self, candidate: Candidate, now: float) -> float:
-        """Return the seconds that a request can wait and still be answered in time."""
+    def _slack(self, candidate: Candidate, now: float) -> float:
+        """Return the seconds that a request can wait and still meet its deadline."""
         needed = self._expected.needed(candidate.pipeline, now)
         return candidate.deadline - now - needed
 
-    def _longest_wait(self, candidate: Candidate, left: float) -> float:
-        """Return the longest wait that is taken on.
+    def _max_wait(self, candidate: Candidate, left: float) -> float:
+        """Return the longest expected wait with which a request is queued.
 
-        An account with a few requests in the queue is taken to have come in a burst
-        and may use all the time there is; a longer queue keeps some back for errors of
-        the estimate.
+        Few queued requests of an account are taken for a burst, and may wait for all
+        of their slack. A longer queue reserves a margin for errors of the estimate.
         """
-        account, _ = self._account(candidate)
-        if self._queue.queued(account, self._pipelines) < SHORT_QUEUE:
+        account, _ = self._account_and_weight(candidate)
+        if self._queue.queued(account, self._pipelines) < BURST_QUEUE_LENGTH:
             return left
         return min(MAX_WAIT_SECONDS, left * WAIT_SHARE)
 
     def _expected_wait(self, candidate: Candidate, now: float) -> float:
         pipeline = candidate.pipeline
-        account, weight = self._account(candidate)
-        related = self._related(pipeline)
+        account, weight = self._account_and_weight(candidate)
+        related = self._competing_pipelines(pipeline)
         names = {other.name for other in related}
         queued = self._queue.queued(account, names)
         if queued == 0 and self._can_begin(pipeline.name):
             return 0.0
-        rivals = self._queue.rivals(account, names)
-        # An account with nothing in the queue is next in its turn, however small its
-        # share; one with a queue waits until its share has drained it.
-        ahead = queued * (1 + sum(rivals) / weight) + len(rivals)
+        competing_weights = self._queue.competing_weights(account, names)
+        # The first request of an account is served at the account's next turn, however
+        # small its share. Further requests wait until its share has drained the others.
+        ahead = queued * (1 + sum(competing_weights) / weight) + len(competing_weights)
         return self._expected.wait(related, ahead, now)
 
-    def _related(self, pipeline: Pipeline) -> list[Pipeline]:
-        """Return the pipelines that share a service with one, itself included."""
+    def _competing_pipelines(self, pipeline: Pipeline) -> list[Pipeline]:
+        """Return the pipelines that share a service with this one, itself included."""
         services = {stage.service for stage in pipeline.stages}
         return [
             other
@@ -320,12 +326,12 @@
         pipeline = admitted.candidate.pipeline
         with self._lock:
             now = self._clock.now()
-            # A time that a deadline cut short says that the servers are slow, but
-            # counted among the whole ones it would shut the door on requests that
-            # another server can answer.
+            # A stage that was cut off by its deadline shows that the servers are slow.
+            # Its duration isn't added to those of complete stages, since that would
+            # refuse requests that another server can answer.
             if end.whole:
                 seconds = now - end.began
                 times = self._expected.times
                 times.add(pipeline.name, end.stage, seconds, now, end.streamed)
             self._windows.end_stage(admitted, end, now)
-            self._begin_next(now)
+            self._admit_queued(now)
--- a/boragestream/policy/admitted.py
+++ b/boragestream/policy/admitted.py
@@ -1,7 +1,7 @@
-"""One admitted request, as the decisions at the door see it until it has ended.
+"""The state of one admitted request, as admission control tracks it until its end.
 
-Serving reports the begin and end of each stage here. What follows from the times is
-left to ``policy.admission``.
+``serving`` reports the begin and the end of each stage to it. ``policy.admission``
+evaluates the durations.
 """
 
 import threading
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Candidate:
-    """A request that asks to be admitted.
+    """A request for which admission is requested.
 
     :ivar deadline: the clock's seconds by which it must be answered.
-    :ivar gone: tells whether its caller has closed the connection.
+    :ivar gone: returns whether its caller has closed the connection.
     """
 
     account: ClientAccount
@@ -30,7 +30,7 @@
     gone: Callable[[], bool] | None = None
 
     def uses(self, mechanism: Mechanism) -> bool:
-        """Tell whether a mechanism is switched on for this request."""
+        """Return whether a mechanism is enabled for this request."""
         return mechanism not in self.policies.without
 
 
@@ -39,12 +39,12 @@
     """The end of one stage of an admitted request.
 
     :ivar began: when the stage began.
-    :ivar timed: whether its time says something about the servers; a stage that
-        failed at once does not.
-    :ivar whole: whether it brought its result.
-    :ivar saturated: whether it found no room on the service.
-    :ivar streamed: whether its answer was passed on as a stream.
-    :ivar passed: whether the request needs the stage's service no more.
+    :ivar timed: whether its duration reflects the speed of the servers; that of a stage
+        that failed at once does not.
+    :ivar whole: whether it returned a complete result.
+    :ivar saturated: whether no server of the service had room for it.
+    :ivar streamed: whether its answer was forwarded as a stream.
+    :ivar passed: whether no remaining stage of the request uses its service.
     """
 
     stage: str
@@ -58,12 +58,12 @@
 
 
 class Admitted:
-    """The stages of one admitted request that are under way or to come.
+    """The stages of one admitted request that run or have not begun.
 
     :param candidate: the request.
     :param began: when it was admitted.
-    :param stage_ended: is told the end of each stage.
-    :param stage_deadline: returns a stage's own deadline.
+    :param stage_ended: called at the end of each stage.
+    :param stage_deadline: returns the deadline of a stage.
     """
 
     def __init__(
@@ -80,8 +80,8 @@
         self._stage_ended = stage_ended
         self._stage_deadline = stage_deadline
         self._stages = {stage.name: stage for stage in candidate.pipeline.stages}
-        self._to_come = Counter(s.service for s in candidate.pipeline.stages)
-        self._under_way: dict[str, float] = {}
+        self._stages_left = Counter(s.service for s in candidate.pipeline.stages)
+        self._began_at: dict[str, float] = {}
         self._lock = threading.Lock()
 
     @property
@@ -96,14 +96,14 @@
 
     @property
     def services(self) -> tuple[str, ...]:
-        """The services that it still needs."""
-        return tuple(service for service, left in self._to_come.items() if left)
+        """The services of the stages that have not ended."""
+        return tuple(service for service, left in self._stages_left.items() if left)
 
     def begin_stage(self, name: str) -> float:
-        """Note that a stage begins; return its own deadline."""
-        self._under_way[name] = self._now()
+        """Record that a stage begins; return the deadline of the stage."""
+        self._began_at[name] = self._now()
         if not self._stages[name].repeatable:
-            # Cutting such a call early would only turn answers into unknown ones.
+            # Aborting such a call early would only turn answers into unknown outcomes.
             return self._candidate.deadline
         return self._stage_deadline(self._candidate, name)
 
@@ -115,23 +115,23 @@
         saturated: bool = False,
         streamed: bool = False,
     ) -> None:
-        """Note that a stage has ended; does nothing the second time."""
+        """Record that a stage has ended; further calls for it have no effect."""
         service = self._stages[name].service
         with self._lock:
-            began = self._under_way.pop(name, None)
+            began = self._began_at.pop(name, None)
             if began is None:
                 return
-            self._to_come[service] -= 1
-            passed = self._to_come[service] == 0
+            self._stages_left[service] -= 1
+            passed = self._stages_left[service] == 0
         self._stage_ended(
             self,
             StageEnd(name, service, began, timed, whole, saturated, passed, streamed),
         )
 
-    def give_up(self) -> tuple[str, ...]:
-        """Return the services that it still held, and hold none any more."""
+    def release_services(self) -> tuple[str, ...]:
+        """Drop all stages that have not ended; return the services of these."""
         with self._lock:
             held = self.services
-            self._to_come.clear()
-            self._under_way.clear()
+            self._stages_left.clear()
+            self._began_at.clear()
         return held
--- a/boragestream/policy/deadlines.py
+++ b/boragestream/policy/deadlines.py
@@ -1,8 +1,8 @@
-"""Deadline budgets: what a request still needs, and what one stage may take of it.
+"""Deadline budgets: the time that a request needs, and the deadline of each stage.
 
-Needs are sums over the waves of a pipeline, since stages of one wave run side by side.
-A stage without recent times needs nothing: the decisions are optimistic until they
-have measured.
+The time needed is summed over the waves of a pipeline, since the stages of one wave run
+concurrently. A stage without recent measurements is taken to need no time, so that
+requests are admitted until durations have been measured.
 """
 
 import math
@@ -13,8 +13,8 @@
 
 __all__ = ["idle_seconds", "needed_seconds", "running_seconds", "stage_deadline"]
 
-# A higher quantile refuses requests that would have made it; a lower one starts
-# requests that end late. See docs/design/admission.md.
+# A higher quantile refuses requests that would have met their deadlines; a lower one
+# admits requests that end late. See docs/design/admission.md.
 NEEDED_QUANTILE = 0.9
 MEDIAN = 0.5
 
@@ -22,12 +22,12 @@
 def needed_seconds(times: StageTimes, pipeline: Pipeline, now: float) -> float:
     """Return the seconds that a request of a pipeline needs once it has begun.
 
-    Stages are seldom slow together, so that what they take beyond their medians is
-    added as independent amounts are: the root of the sum of the squares.
+    Stages are seldom slow together. Their durations above the medians are therefore
+    added as independent deviations: the root of the sum of the squares.
     """
     medians = _wave_seconds(times, pipeline, MEDIAN, now)
-    highs = _wave_seconds(times, pipeline, NEEDED_QUANTILE, now)
-    squares = ((h - m) ** 2 for h, m in zip(highs, medians, strict=True))
+    high_quantiles = _wave_seconds(times, pipeline, NEEDED_QUANTILE, now)
+    squares = ((h - m) ** 2 for h, m in zip(high_quantiles, medians, strict=True))
     return sum(medians) + math.sqrt(sum(squares))
 
 
@@ -50,22 +50,22 @@
 def stage_deadline(
     times: StageTimes, pipeline: Pipeline, stage: str, deadline: float, now: float
 ) -> float:
-    """Return a stage's own deadline: what the later stages need is kept back.
+    """Return the deadline of a stage, which reserves the time of the later stages.
 
-    Where less is left than is needed, the stage has its share of what is left.
+    If less time is left than the stages need, it is divided in proportion to the needs.
 
     :param stage: the stage's name.
     :param deadline: the request's deadline.
     """
     waves = stage_waves(pipeline)
-    needs = _wave_seconds(times, pipeline, NEEDED_QUANTILE, now)
-    here = next(i for i, w in enumerate(waves) if any(s.name == stage for s in w))
-    later = sum(needs[here + 1 :])
-    if later == 0:
+    wave_seconds = _wave_seconds(times, pipeline, NEEDED_QUANTILE, now)
+    wave_index = next(i for i, w in enumerate(waves) if any(s.name == stage for s in w))
+    later_seconds = sum(wave_seconds[wave_index + 1 :])
+    if later_seconds == 0:
         return deadline
     left = max(0.0, deadline - now)
-    share = left * needs[here] / (needs[here] + later)
-    return max(deadline - later, now + share)
+    share = left * wave_seconds[wave_index] / (wave_seconds[wave_index] + later_seconds)
+    return max(deadline - later_seconds, now + share)
 
 
 def _wave_seconds(
--- a/boragestream/policy/fair_queue.py
+++ b/boragestream/policy/fair_queue.py
@@ -1,10 +1,10 @@
 """Weighted fair queueing between client accounts, earliest deadline first within one.
 
-Start-time fair queueing: an account's virtual time grows by the cost of what was taken
-from it over its weight, and the account that is furthest behind is served next. An
-account that was idle joins at the queue's own virtual time, so that idleness earns no
-credit. Items of a pipeline that cannot begin now are passed over without losing their
-place. How long a queue may become is left to ``policy.admission``.
+Start-time fair queueing: each item taken from an account advances the account's virtual
+time by the item's cost divided by the account's weight, and the account with the lowest
+virtual time is served next. An account that was idle joins at the queue's virtual time,
+so that it gains no credit while idle. Items of a pipeline that can't begin now are
+skipped and keep their positions. ``policy.admission`` bounds the queue's length.
 """
 
 import heapq
@@ -17,19 +17,19 @@
 
 Item = TypeVar("Item")
 
-# Three steps of priority double an account's share; a strict order would starve the
-# lower priorities.
+# Three steps of priority double an account's share. A strict order by priority would
+# starve the lower priorities.
 PRIORITY_STEPS_PER_DOUBLING = 3
 
 
 def account_weight(weight: float, priority: int) -> float:
-    """Return the share of an account with a priority, relative to the others."""
+    """Return the relative share of an account with a weight and a priority."""
     return weight * 2 ** (priority / PRIORITY_STEPS_PER_DOUBLING)
 
 
 @dataclass(slots=True)
 class AccountQueue(Generic[Item]):
-    """What waits for one account, by pipeline, earliest deadline first."""
+    """The waiting items of one account, by pipeline, earliest deadline first."""
 
     weight: float
     virtual_time: float = 0.0
@@ -37,16 +37,16 @@
 
     @property
     def size(self) -> int:
-        """How many items wait."""
+        """The number of items that wait."""
         return sum(len(heap) for heap in self.heaps.values())
 
     def length(self, pipelines: Iterable[str]) -> int:
-        """Return how many items of some pipelines wait."""
+        """Return the number of waiting items of the given pipelines."""
         return sum(len(self.heaps.get(name, ())) for name in pipelines)
 
 
 class FairQueue(Generic[Item]):
-    """The queue; not safe without its owner's lock."""
+    """The queue; the owner must hold a lock."""
 
     def __init__(self) -> None:
         self._accounts: dict[str, AccountQueue[Item]] = {}
@@ -60,7 +60,7 @@
     def push(
         self, account: str, weight: float, pipeline: str, deadline: float, item: Item
     ) -> None:
-        """Add an item; a weight that has changed counts from now on."""
+        """Add an item; a changed weight applies from now on."""
         queue = self._accounts.get(account)
         if queue is None:
             queue = AccountQueue(weight, self._virtual_time)
@@ -77,10 +77,10 @@
         can_begin: Callable[[str], bool],
         cost: Callable[[str], float],
     ) -> Item | None:
-        """Take the next item whose pipeline can begin, None where none can.
+        """Remove and return the next item that can begin; None if there is none.
 
-        :param can_begin: whether an item of a pipeline can begin now.
-        :param cost: what an item of a pipeline costs, in any one unit.
+        :param can_begin: returns whether an item of a pipeline can begin now.
+        :param cost: returns the cost of an item of a pipeline, in any consistent unit.
         """
         waiting = [q for q in self._accounts.values() if q.size]
         for queue in sorted(waiting, key=lambda q: q.virtual_time):
@@ -92,12 +92,12 @@
             self._virtual_time = max(self._virtual_time, queue.virtual_time)
             queue.virtual_time += cost(pipeline) / queue.weight
             self._size -= 1
-            self._forget_idle()
+            self._drop_idle()
             return item
         return None
 
     def remove(self, account: str, pipeline: str, item: Item) -> bool:
-        """Remove an item that has not been taken; tell whether it was there."""
+        """Remove a waiting item; return whether it was found."""
         queue = self._accounts.get(account)
         heap = queue.heaps.get(pipeline, []) if queue else []
         for index, entry in enumerate(heap):
@@ -110,16 +110,18 @@
         return False
 
     def queued(self, account: str, pipelines: Iterable[str]) -> int:
-        """Return how many items of some pipelines wait for an account."""
+        """Return the number of an account's waiting items of the given pipelines."""
         queue = self._accounts.get(account)
         return queue.length(pipelines) if queue else 0
 
     def length(self, pipeline: str) -> int:
-        """Return how many items of a pipeline wait for all accounts."""
+        """Return the number of waiting items of a pipeline, over all accounts."""
         return sum(queue.length((pipeline,)) for queue in self._accounts.values())
 
-    def rivals(self, account: str, pipelines: Collection[str]) -> list[float]:
-        """Return the weights of the other accounts with items of some pipelines."""
+    def competing_weights(
+        self, account: str, pipelines: Collection[str]
+    ) -> list[float]:
+        """Return the weights of the other accounts with items of the pipelines."""
         return [
             queue.weight
             for name, queue in self._accounts.items()
@@ -127,13 +129,16 @@
         ]
 
     def heaviest(self) -> tuple[str, float]:
-        """Return the account with the most items for its weight, and that number."""
+        """Return the account with the most items for its weight, and that ratio."""
         loads = ((q.size / q.weight, name) for name, q in self._accounts.items())
         load, name = max(loads, default=(0.0, ""))
         return name, load
 
-    def take_latest(self, account: str) -> Item | None:
-        """Take an account's item with the latest deadline, None where none waits."""
+    def pop_latest(self, account: str) -> Item | None:
+        """Remove and return an account's item with the latest deadline.
+
+        :returns: None if no item waits.
+        """
         queue = self._accounts.get(account)
         if queue is None or not queue.size:
             return None
@@ -144,7 +149,7 @@
         self.remove(account, pipeline, entry[2])
         return entry[2]
 
-    def _forget_idle(self) -> None:
+    def _drop_idle(self) -> None:
         idle = [
             name
             for name, queue in self._accounts.items()
--- a/boragestream/policy/service_queue.py
+++ b/boragestream/policy/service_queue.py
@@ -1,7 +1,7 @@
-"""The state of one stage service's queue: orders, calls under way, room at the servers.
+"""The state of a stage service's queue: orders, calls in progress, room at the servers.
 
-Not safe without its owner's lock. Which pieces go together is decided by
-``policy.piece_queue``; sending the calls is left to ``serving.piece_batches``.
+The queue is not thread-safe; its owner must hold a lock. ``policy.piece_queue`` chooses
+the pieces of each batch, ``serving.piece_batches`` sends the calls.
 """
 
 import math
@@ -27,20 +27,20 @@
 __all__ = ["Batch", "CallRoom", "ServiceQueue"]
 
 MEGABYTE = 1_000_000.0
-# A server that did not take a call is full or out of reach. Asked again at once it says
-# the same, a thousand times a second where it is the only one left.
+# A server that did not take a call is full or unreachable. Without a pause it would be
+# called again at once, a thousand times a second if it is the only server left.
 REFUSED_PAUSE_SECONDS = 0.1
-# An order that has not come so long after its latest start will not come any more.
-BOOKING_SECONDS = 0.5
-# A result is given up as soon as the next call has read it, mostly within this time.
-NO_ROOM_SECONDS = 0.4
+# A booking is dropped if its order has not arrived this long after its latest start.
+BOOKING_GRACE_SECONDS = 0.5
+# A result is released as soon as the next call has read it, mostly within this time.
+NO_ROOM_HOLD_SECONDS = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
     """The pieces of one call.
 
-    :ivar pieces: each with the order that it belongs to.
+    :ivar pieces: each piece with its order.
     """
 
     server: Server
@@ -49,36 +49,36 @@
 
     @property
     def result_bytes(self) -> float:
-        """The approximate size of all results."""
+        """The approximate size of all results in bytes."""
         return sum(queued.order.result_bytes for queued, _ in self.pieces)
 
     @property
     def seconds(self) -> float:
-        """How long the call usually takes."""
+        """The usual duration of the call in seconds."""
         return self.limits.call_seconds + len(self.pieces) * self.limits.piece_seconds
 
 
 @dataclass(frozen=True, slots=True)
 class CallRoom:
-    """How many calls a server may be sent, beside what it can make.
+    """The rate at which a server may be called, apart from its own capacity.
 
-    :ivar per_second: infinite for any number.
-    :ivar wait_seconds: until the next one may be sent.
+    :ivar per_second: calls per second; infinite if not limited.
+    :ivar wait_seconds: seconds until the next call may be sent.
     """
 
     per_second: float = math.inf
     wait_seconds: float = 0.0
 
 
-ANY_CALLS = CallRoom()
+UNLIMITED_CALLS = CallRoom()
 
 
 @dataclass(frozen=True, slots=True)
 class _Booked:
-    """Pieces that will be ordered.
+    """A booking: pieces whose order is expected.
 
     :ivar start_by: the latest start of the order, in the clock's seconds.
-    :ivar until: the clock's seconds after which the order is not awaited any more.
+    :ivar until: the clock's seconds at which the booking is dropped.
     """
 
     count: int
@@ -89,47 +89,48 @@
 
 @dataclass(slots=True)
 class _ServerState:
-    """What a server has in hand.
-
-    :ivar calls: calls under way.
-    :ivar free_at: when they are expected to end, in the clock's seconds.
-    :ivar paused_until: it gets no call before then, in the clock's seconds.
-    :ivar coming: bytes of results that are being made.
-    :ivar held: results by handle: their size, and until when they are kept.
+    """The calls and results of one server.
+
+    :ivar calls: the number of calls in progress.
+    :ivar free_at: the clock's seconds at which the calls are expected to end.
+    :ivar paused_until: the clock's seconds before which no call is sent.
+    :ivar pending_bytes: the expected bytes of the results of calls in progress.
+    :ivar held: stored results by handle: size in bytes, and the clock's seconds until
+        which the server keeps them.
     """
 
     calls: int = 0
     free_at: float = 0.0
     paused_until: float = 0.0
-    coming: float = 0.0
+    pending_bytes: float = 0.0
     held: dict[str, tuple[float, float]] = field(default_factory=dict)
 
     def used_bytes(self, now: float) -> float:
         gone = [handle for handle, (_, until) in self.held.items() if now >= until]
         for handle in gone:
             del self.held[handle]
-        return self.coming + sum(size for size, _ in self.held.values())
+        return self.pending_bytes + sum(size for size, _ in self.held.values())
 
 
 class ServiceQueue:
     """The queue of one service.
 
-    :param room: returns how many calls a server may be sent.
+    :param room: returns the rate at which a server may be called.
     """
 
     def __init__(
-        self, room: Callable[[Server], CallRoom] = lambda server: ANY_CALLS
+        self, room: Callable[[Server], CallRoom] = lambda server: UNLIMITED_CALLS
     ) -> None:
         self._room = room
         self._orders: dict[str, QueuedOrder] = {}
         self._bookings: dict[str, _Booked] = {}
-        # By the server's identity: one that starts again holds nothing of before.
+        # By identity, since a server that has restarted holds none of its results.
         self._servers: dict[tuple[str, str, str], _ServerState] = {}
         self._callers = ReturningCallers()
 
     @property
     def orders(self) -> Mapping[str, QueuedOrder]:
-        """The orders that are not done, by their ids."""
+        """The orders that are not complete, by id."""
         return self._orders
 
     def submit(
@@ -139,7 +140,7 @@
         usable: Sequence[Server],
         now: float,
     ) -> float | None:
-        """Take an order; return the expected wait in seconds where it is refused."""
+        """Add an order; return the expected wait in seconds if it is refused."""
         order = queued.order
         if order.order_id in self._orders:
             return None
@@ -149,8 +150,8 @@
         queued.start_by -= self._callers.waited(
             first.key, first.request_id, queued.expires, now
         )
-        fit = _in_regions(usable, order.regions)
-        wait = self._wait(queued.place(now), limits, fit, now)
+        eligible = _in_regions(usable, order.regions)
+        wait = self._wait(queued.place(now), limits, eligible, now)
         if not is_admitted(queued.order, wait, queued.start_by - now):
             return wait
         self._orders[order.order_id] = queued
@@ -165,41 +166,41 @@
         usable: Sequence[Server],
         now: float,
     ) -> float | None:
-        """Book an order to come; return the expected wait where it is refused.
+        """Book a later order; return the expected wait in seconds if it is refused.
 
-        :param start_by: the clock's seconds at which it must start at the latest.
+        :param start_by: the clock's seconds by which the order must start.
         :param expires: the clock's seconds at which its caller stops waiting.
         """
         if booking.order_id in self._bookings or booking.order_id in self._orders:
             return None
         start_by -= self._callers.waited(booking.key, booking.request_id, expires, now)
         place = place_of(start_by, booking.priority, now)
-        fit = _in_regions(usable, booking.regions)
-        wait = self._wait(place, limits, fit, now)
+        eligible = _in_regions(usable, booking.regions)
+        wait = self._wait(place, limits, eligible, now)
         if not is_bookable(booking, wait, start_by - now):
             return wait
-        until = max(start_by, now) + BOOKING_SECONDS
+        until = max(start_by, now) + BOOKING_GRACE_SECONDS
         booked = _Booked(booking.count, booking.priority, start_by, until)
         self._bookings[booking.order_id] = booked
         return None
 
     def drop(self, order_id: str) -> None:
-        """Drop an order or a booking; what is under way for it is made in vain."""
+        """Drop an order or a booking; results of pieces in progress are discarded."""
         self._orders.pop(order_id, None)
         self._bookings.pop(order_id, None)
 
     def drop_expired(self, now: float) -> None:
-        """Drop the orders and bookings that nobody awaits any more."""
+        """Drop the orders and bookings that have expired."""
         for order_id in [k for k, b in self._bookings.items() if now >= b.until]:
             del self._bookings[order_id]
         for order_id in [k for k, q in self._orders.items() if now >= q.expires]:
             del self._orders[order_id]
 
     def drop_late(self, now: float) -> list[QueuedOrder]:
-        """Drop and return the orders that are late and have found no place since.
+        """Drop and return the orders that are late and have not started since.
 
-        A caller that is told now can come back in time, and is not kept waiting for an
-        answer that is worth a fraction.
+        A caller that is refused now can retry in time, and does not wait for a late
+        answer, which is worth a fraction.
         """
         late = [queued for queued in self._orders.values() if is_hopeless(queued, now)]
         for queued in late:
@@ -207,15 +208,15 @@
         return late
 
     def drop_starting_before(self, moment: float) -> list[QueuedOrder]:
-        """Drop and return the orders with pieces that must start before a moment."""
+        """Drop and return orders with pieces that must start before a given time."""
         waiting = self._orders.values()
-        early = [q for q in waiting if q.left and q.start_by < moment]
-        for queued in early:
+        due = [q for q in waiting if q.left and q.start_by < moment]
+        for queued in due:
             del self._orders[queued.order.order_id]
-        return early
+        return due
 
     def drop_unserved(self) -> list[QueuedOrder]:
-        """Drop and return the orders with pieces that no server is left to make."""
+        """Drop and return the orders with unsent pieces, when no server is left."""
         unserved = [queued for queued in self._orders.values() if queued.left]
         for queued in unserved:
             del self._orders[queued.order.order_id]
@@ -224,7 +225,7 @@
     def next_batches(
         self, limits: PieceLimits, usable: Sequence[Server], now: float
     ) -> list[Batch]:
-        """Return a batch for each server that is free, and count them as under way."""
+        """Return a batch for each free server, and record it as in progress."""
         free_at: dict[str, float] = {}
         for server in usable:
             known = free_at.get(server.data_centre, math.inf)
@@ -244,38 +245,38 @@
         taken: bool,
         now: float,
     ) -> None:
-        """Count a call as ended, and its results as held by the server.
+        """Record that a call has ended and that the server holds its results.
 
-        :param results: in the order of the pieces; None where there are none.
-        :param taken: whether the server took the call; else it is left alone a while.
+        :param results: in the order of the pieces; None if there are none.
+        :param taken: whether the server took the call; if not, it gets a pause.
         """
         state = self._state(batch.server)
         state.calls -= 1
         state.free_at = 0.0
         if not taken:
             state.paused_until = now + REFUSED_PAUSE_SECONDS
-        state.coming = max(0.0, state.coming - batch.result_bytes)
+        state.pending_bytes = max(0.0, state.pending_bytes - batch.result_bytes)
         until = now + batch.limits.result_seconds
         for (queued, piece), result in zip(batch.pieces, results or (), strict=False):
             size = queued.order.result_bytes
             if result.handle:
                 state.held[result.handle] = (size, until)
             elif result.fault is PieceFault.NO_ROOM:
-                # Results of which this queue knows nothing, such as those of an
-                # earlier owner, take up the place.
+                # Results that are not recorded here, such as those of an earlier
+                # owner, occupy the server's memory.
                 unknown = f"{piece.request_id}/{piece.stage}/{piece.number}"
-                state.held[unknown] = (size, now + NO_ROOM_SECONDS)
+                state.held[unknown] = (size, now + NO_ROOM_HOLD_SECONDS)
                 state.paused_until = now + REFUSED_PAUSE_SECONDS
 
     def put_back(self, order_id: str, piece: Piece) -> bool:
-        """Have a piece made once more; False where nobody awaits its order."""
+        """Requeue a piece; return False if its order has been dropped."""
         queued = self._orders.get(order_id)
         if queued is not None:
             queued.left.append(piece)
         return queued is not None
 
     def note_reported(self, order_id: str, numbers: set[int]) -> None:
-        """Take that results were reported; an order with no other pieces is done."""
+        """Record reported results; an order without further pieces is complete."""
         queued = self._orders.get(order_id)
         if queued is None:
             return
@@ -286,14 +287,15 @@
             del self._orders[order_id]
 
     def release(self, server: Server, handle: str) -> None:
-        """Take that a result is given up."""
+        """Record that a server no longer stores a result."""
         self._state(server).held.pop(handle, None)
 
     def forget(self, listed: Iterable[Server], now: float) -> None:
-        """Forget servers that are gone, and at once the earlier lives of others.
+        """Drop the state of servers that have left or restarted.
 
-        A server that has left may still serve the results that it holds; one that has
-        started again under its name holds none of them.
+        A server that has left may still serve its stored results, so that its state is
+        kept until they expire. A server that has restarted under the same name holds
+        none of them, so that its earlier state is dropped at once.
         """
         latest = {server.name: server.identity for server in listed}
         for identity, state in list(self._servers.items()):
@@ -303,7 +305,7 @@
                 del self._servers[identity]
 
     def holds(self, server: Server, handle: str) -> bool:
-        """Tell whether a server still holds a result."""
+        """Return whether a server still stores a result."""
         return handle in self._state(server).held
 
     def _wait(
@@ -313,7 +315,7 @@
         usable: Sequence[Server],
         now: float,
     ) -> float:
-        """Return the expected wait in seconds of an order at a place in the queue."""
+        """Return the expected wait in seconds of an order at a queue position."""
         ahead = sum(
             len(queued.left)
             for queued in self._orders.values()
@@ -330,7 +332,7 @@
             room = self._room(server)
             idle = self._state(server).calls < limits.concurrent_calls
             free += idle and room.wait_seconds <= 0
-            # One that may be sent few calls counts as a part of a server.
+            # A server whose calls are limited counts as a fraction.
             servers += min(1.0, room.per_second * whole_call)
         return expected_wait(ahead, 0 if ahead else free, servers, limits)
 
@@ -357,7 +359,7 @@
             numbers = {piece.number for piece in taken}
             queued.left = [p for p in queued.left if p.number not in numbers]
         state.calls += 1
-        state.coming += batch.result_bytes
+        state.pending_bytes += batch.result_bytes
         state.free_at = now + batch.seconds
         return batch
 
--- a/boragestream/policy/service_window.py
+++ b/boragestream/policy/service_window.py
@@ -1,16 +1,16 @@
-"""How many requests this entry may have under way towards one service.
-
-The entries share the servers and nothing else, so each adapts its own window to what
-it sees: where stages take longer than the target multiple of their time without
-queueing, the window is cut by a factor, else it grows by a step as long as it is used.
-Additive increase and multiplicative decrease on a signal that all entries see makes
-their windows equal. Only requests that began after the last change count, since the
-others speak of the window as it was before.
-
-Until the first sign of a queue, a window is at least as wide as the entry's share of
-the slots that the servers report: nothing completes while a burst of long streams
-begins. The same holds after idleness, since an old cut says nothing of the servers.
-How the share is known is left to ``policy.slot_shares``.
+"""Limits the number of requests that this entry has in progress on one service.
+
+The entries share the servers without coordination, so each adapts its own window to
+the durations that it measures. If stages take longer than the target multiple of their
+duration without queueing, the window is cut by a factor. Otherwise it grows by a step,
+provided that it was fully used. Additive increase and multiplicative decrease on a
+signal that all entries see makes their windows converge. Only requests that began after
+the last change are evaluated, since earlier ones reflect the previous window.
+
+Until the first sign of queueing, a window is at least as wide as the entry's share of
+the slots that the servers report, since no request completes while a burst of long
+streams begins. The same applies after an idle time, since an old cut does not reflect
+the current load of the servers. ``policy.slot_shares`` determines the share.
 """
 
 import math
@@ -21,35 +21,35 @@
 START_LIMIT = 4.0
 MIN_LIMIT = 2.0
 MAX_LIMIT = 256.0
-# At this multiple more work waits at the servers than runs there: neither a cut nor an
-# uneven choice among the servers leaves one idle.
+# At this multiple more work waits at the servers than runs there, so that neither a cut
+# of the window nor an uneven choice among the servers leaves a server idle.
 TARGET_MULTIPLE = 1.6
 MAX_CUT = 0.5
 START_GROWTH = 1.5
-# Stages that take longer than this already queue: from then on the window grows by
-# steps.
-QUIET_MULTIPLE = 1.15
+# Stages that take longer than this multiple already queue. The window then grows by
+# steps instead of a factor.
+UNQUEUED_MULTIPLE = 1.15
 STEP = 1.0
 MIN_SAMPLES = 6
 MIN_SECONDS = 0.05
-# Cuts in a row that did not bring the multiple down: there was no queue to shorten,
-# the servers themselves have become slower.
-VAIN_CUTS = 6
+# If this number of consecutive cuts does not lower the multiple, there is no queue to
+# shorten: the servers themselves have become slower.
+MAX_INEFFECTIVE_CUTS = 6
 IMPROVEMENT = 0.9
-# Whatever queue there was has gone after this long without a request.
+# After this time without a request, a queue at the servers has drained.
 IDLE_SECONDS = 30.0
 
 
 class ServiceWindow:
-    """The window towards one service; not safe without its owner's lock."""
+    """The window of one service; the owner must hold a lock."""
 
     def __init__(self, now: float) -> None:
         self._limit = START_LIMIT
         self._in_use = 0
         self._most_in_use = 0
         self._changed_at = now
-        # What was never asked for has not been idle.
-        self._asked_at = math.inf
+        # Infinite until the first request, so that a new window is not seen as idle.
+        self._requested_at = math.inf
         self._starting = True
         self._multiples: list[float] = []
         self._cuts = 0
@@ -57,12 +57,12 @@
 
     @property
     def limit(self) -> int:
-        """The most requests under way."""
+        """The maximum number of requests in progress."""
         return math.ceil(self._limit)
 
     @property
     def in_use(self) -> int:
-        """The requests under way that have not passed the service."""
+        """The number of requests in progress that still need the service."""
         return self._in_use
 
     @property
@@ -70,32 +70,32 @@
         """Whether one more request may begin."""
         return self._in_use < self.limit
 
-    def ask(self, share: float, now: float) -> None:
-        """Note that a request asks for room, and widen a window that is starting.
+    def request_room(self, share: float, now: float) -> None:
+        """Record a request for room, and widen a window in its start phase.
 
-        :param share: this entry's share of the servers' slots; 0 for not known.
+        :param share: this entry's share of the servers' slots; 0 if unknown.
         """
-        if not self._in_use and now - self._asked_at > IDLE_SECONDS:
-            self._start_again(now)
-        self._asked_at = now
+        if not self._in_use and now - self._requested_at > IDLE_SECONDS:
+            self._restart(now)
+        self._requested_at = now
         if self._starting:
             self._limit = max(self._limit, share * TARGET_MULTIPLE)
 
     def take(self) -> None:
-        """Count a request that begins."""
+        """Record that a request begins."""
         self._in_use += 1
         self._most_in_use = max(self._most_in_use, self._in_use)
 
     def release(self) -> None:
-        """Count a request that has passed the service, or ended before it."""
+        """Record that a request has ended or needs the service no more."""
         self._in_use -= 1
 
     def observe(self, multiple: float, began: float, now: float) -> float | None:
-        """Take the time of a stage on the service and adapt the window.
+        """Adapt the window to the duration of a stage on the service.
 
-        :param multiple: the time as a multiple of the stage's baseline.
+        :param multiple: the duration as a multiple of the stage's baseline.
         :param began: when the stage's request began.
-        :returns: by how much the baselines of the service proved too low, else None.
+        :returns: the factor by which the service's baselines are too low, else None.
         """
         if began < self._changed_at:
             return None
@@ -103,18 +103,18 @@
         enough = len(self._multiples) >= min(MIN_SAMPLES, self.limit)
         if not enough or now - self._changed_at < MIN_SECONDS:
             return None
-        # A queue delays all calls; one silent server of several delays a part of them,
-        # and is no reason to hold back work from the others.
-        middle = statistics.median_low(self._multiples)
-        slow = middle > TARGET_MULTIPLE
-        correction = self._cut(middle) if slow else self._grow(middle)
+        # The median is used because a queue delays all calls. One unresponsive server
+        # of several delays a part of them, and must not reduce the work of the others.
+        median = statistics.median_low(self._multiples)
+        slow = median > TARGET_MULTIPLE
+        correction = self._cut(median) if slow else self._grow(median)
         self._multiples.clear()
         self._most_in_use = self._in_use
         self._changed_at = now
         return correction
 
     def overflow(self, began: float, now: float) -> None:
-        """Cut the window, since a stage found no room on the service at all.
+        """Cut the window after a stage found no room on the service.
 
         :param began: when the stage's request began.
         """
@@ -129,14 +129,14 @@
 
     def _grow(self, multiple: float) -> None:
         self._cuts = 0
-        self._starting = self._starting and multiple < QUIET_MULTIPLE
+        self._starting = self._starting and multiple < UNQUEUED_MULTIPLE
         if self._most_in_use < self.limit:
             return
         grown = self._limit * START_GROWTH if self._starting else self._limit + STEP
-        # A share of reported slots may be wider than what may be grown to.
+        # A share of the reported slots may exceed the maximum for growth.
         self._limit = max(self._limit, min(MAX_LIMIT, grown))
 
-    def _start_again(self, now: float) -> None:
+    def _restart(self, now: float) -> None:
         self._starting = True
         self._limit = max(START_LIMIT, self._limit)
         self._cuts = 0
@@ -151,8 +151,8 @@
         self._cuts += 1
         factor = max(MAX_CUT, TARGET_MULTIPLE / multiple)
         self._limit = max(MIN_LIMIT, self._limit * factor)
-        if self._cuts < VAIN_CUTS:
+        if self._cuts < MAX_INEFFECTIVE_CUTS:
             return None
-        vain = multiple > IMPROVEMENT * self._first_cut_multiple
+        ineffective = multiple > IMPROVEMENT * self._first_cut_multiple
         self._cuts = 0
-        return multiple / TARGET_MULTIPLE if vain else None
+        return multiple / TARGET_MULTIPLE if ineffective else None
--- a/boragestream/policy/service_windows.py
+++ b/boragestream/policy/service_windows.py
@@ -1,7 +1,7 @@
-"""The windows of an entry towards all services.
+"""The windows of an entry for all services.
 
-A request holds a place in the window of each service of its pipeline until it has
-passed that service. How one window adapts is left to ``policy.service_window``.
+A request is counted in the window of each service of its pipeline until it does not
+need that service any more. ``policy.service_window`` adapts each window.
 """
 
 from collections.abc import Callable
@@ -15,10 +15,10 @@
 
 
 class ServiceWindows:
-    """The windows by service; not safe without its owner's lock.
+    """The windows by service; the owner must hold a lock.
 
-    :param times: the measured times of the stages.
-    :param share: returns this entry's share of a service's slots; 0 for not known.
+    :param times: the measured durations of the stages.
+    :param share: returns this entry's share of a service's slots; 0 if unknown.
     """
 
     def __init__(
@@ -30,38 +30,38 @@
         self._pipelines: dict[str, Pipeline] = {}
 
     def open_for(self, pipeline: Pipeline, now: float) -> bool:
-        """Tell whether a request may begin."""
-        return all(self._asked(s.service, now).open for s in pipeline.stages)
+        """Return whether a request of the pipeline may begin."""
+        return all(self._requested_window(s.service, now).open for s in pipeline.stages)
 
     def take(self, admitted: Admitted, now: float) -> None:
-        """Count a request that begins."""
+        """Record that a request begins."""
         pipeline = admitted.candidate.pipeline
         self._pipelines[pipeline.name] = pipeline
         for service in admitted.services:
             self._window(service, now).take()
 
-    def give_up(self, admitted: Admitted) -> None:
-        """Count a request that has ended."""
-        for service in admitted.give_up():
+    def release_all(self, admitted: Admitted) -> None:
+        """Record that a request has ended."""
+        for service in admitted.release_services():
             self._windows[service].release()
 
     def end_stage(self, admitted: Admitted, end: StageEnd, now: float) -> None:
-        """Take the end of a stage: its time, and the place that it held."""
+        """Adapt the service's window to an ended stage, and release its place."""
         window = self._windows[end.service]
-        # A window to which nothing is held would learn that no cut helps, and take
-        # the times of an overload for the servers' own.
+        # A window that is not enforced must not adapt. Its cuts would have no effect,
+        # so that durations under overload would become the baselines.
         if admitted.candidate.uses("admission"):
-            self._learn(admitted, end, now)
+            self._adapt(admitted, end, now)
         if end.passed:
             window.release()
 
     def used(self) -> dict[str, tuple[int, int]]:
-        """Return the limit and the use of each window."""
+        """Return limit and usage of each window."""
         return {name: (w.limit, w.in_use) for name, w in self._windows.items()}
 
-    def _asked(self, service: str, now: float) -> ServiceWindow:
+    def _requested_window(self, service: str, now: float) -> ServiceWindow:
         window = self._window(service, now)
-        window.ask(self._share(service), now)
+        window.request_room(self._share(service), now)
         return window
 
     def _window(self, service: str, now: float) -> ServiceWindow:
@@ -71,7 +71,7 @@
             self._windows[service] = window
         return window
 
-    def _learn(self, admitted: Admitted, end: StageEnd, now: float) -> None:
+    def _adapt(self, admitted: Admitted, end: StageEnd, now: float) -> None:
         window = self._windows[end.service]
         if end.saturated:
             window.overflow(admitted.began, now)
--- a/boragestream/policy/stage_delays.py
+++ b/boragestream/policy/stage_delays.py
@@ -1,8 +1,8 @@
-"""How long the stages of each service have taken lately, their waits included.
+"""The recent durations of the stages of each service, waits included.
 
-A chain is planned backwards from its objective. Under load the later stages of a chain
-take several times their usual time, and a request that begins its first stage without
-regard to that is late at the end, after all of its work is done.
+The stages of a chain are scheduled backwards from its objective. Under load the later
+stages take several times their usual durations. A request that is scheduled without
+regard to that ends late, after all of its work has been done.
 """
 
 import threading
@@ -12,7 +12,7 @@
 __all__ = ["StageDelays"]
 
 SMOOTHING = 0.3
-# A service that nobody has used for so long is taken to be idle again.
+# A service that has not been used for this time is taken to be idle again.
 FORGET_SECONDS = 2.0
 
 
@@ -23,7 +23,7 @@
 
 
 class StageDelays:
-    """The delays by service, as this entry has seen them.
+    """The delays by service, as this entry has measured them.
 
     :param now: returns the clock's seconds.
     """
@@ -34,12 +34,13 @@
         self._lock = threading.Lock()
 
     def note(self, service: str, seconds: float, usual: float) -> None:
-        """Take how long a stage took from its order to its results.
+        """Record the duration of a stage, from its order to its results.
 
-        One slow stage after a quiet while may be chance: taken whole, it had an entry
-        refuse all chains for two seconds, in which nothing was measured anew.
+        The duration is smoothed, since a single slow stage after an idle time may be
+        chance. Used unsmoothed, it made an entry refuse all chains for two seconds, in
+        which no new duration was measured.
 
-        :param usual: what it takes on an idle server.
+        :param usual: seconds that the stage takes on an idle server.
         """
         with self._lock:
             expected = self.expected(service, usual)
@@ -47,12 +48,12 @@
             self._delays[service] = _Delay(smoothed, self._now())
 
     def expected(self, service: str, usual: float) -> float:
-        """Return how long a stage is expected to take, in seconds.
+        """Return the expected duration of a stage, in seconds.
 
-        :param usual: what it takes on an idle server; never less is expected.
+        :param usual: seconds that the stage takes on an idle server; the lower bound.
         """
-        known = self._delays.get(service)
-        if known is None:
+        delay = self._delays.get(service)
+        if delay is None:
             return usual
-        trust = 1.0 - (self._now() - known.measured_at) / FORGET_SECONDS
-        return usual + max(0.0, trust) * max(0.0, known.seconds - usual)
+        weight = 1.0 - (self._now() - delay.measured_at) / FORGET_SECONDS
+        return usual + max(0.0, weight) * max(0.0, delay.seconds - usual)
--- a/boragestream/policy/stage_times.py
+++ b/boragestream/policy/stage_times.py
@@ -1,13 +1,14 @@
-"""How long each stage of each pipeline takes, as this entry has measured it.
-
-A stage's sample holds its latest times and forgets old ones, so that quantiles follow
-what the backend servers do now. The baseline is the time without queueing: the lowest
-mean of a group of times in a row. Streamed answers have a baseline of their own, since
-a stream lasts until its last token: measured against whole answers that come at once,
-streams of 80 ms looked like a queue 50 times as long, the window closed and a stream
-waited 53 ms at p50 and 782 ms at p95 on an idle server, against 1.8 and 2.3 without
-(``bench.overhead``). What the times mean for a request is left to
-``policy.deadlines``, what they mean for the servers to ``policy.service_window``.
+"""The durations of the stages of each pipeline, as this entry has measured them.
+
+A stage's sample holds its latest durations and drops old ones, so that quantiles follow
+the current speed of the backend servers. The baseline is the duration without queueing:
+the lowest mean of a group of consecutive durations. Streamed answers have a separate
+baseline, since a stream lasts until its last token. Compared with the baseline of
+answers that are sent at once, streams of 80 ms looked like a 50-fold delay by queueing,
+so that the window closed. On an idle server a stream then waited 53 ms at p50 and 782
+at p95, against 1.8 and 2.3 ms with separate baselines (``bench.overhead``).
+``policy.deadlines`` derives the needs of requests from the durations,
+``policy.service_window`` the load of the servers.
 """
 
 import threading
@@ -17,21 +18,21 @@
 
 SAMPLE_SIZE = 128
 SAMPLE_SECONDS = 2.0
-# The tail of fewer times is one odd time, and would close the door on all requests.
+# With fewer durations a single outlier is the tail, and would refuse all requests.
 MIN_TAIL_SAMPLE = 10
-BASELINE_GROUP = 16
-# Quantiles are sorted out again after this long at the most; sorting for every request
-# would cost more than the answer is worth.
+BASELINE_GROUP_SIZE = 16
+# The sample is sorted again after this time at the earliest, since sorting it for each
+# request costs more than the accuracy is worth.
 CACHE_SECONDS = 0.1
-# Below this the entry's own delays and the way to another data centre are most of a
-# stage's time, and say nothing of a queue at the servers.
+# Below this, most of a stage's duration is delay in the entry and on the network to
+# another data centre, which does not indicate a queue at the servers.
 MIN_BASELINE_SECONDS = 0.02
-# So many groups of times make an entry's own baseline better than that of another.
-OWN_GROUPS = 4
+# With this number of groups an entry's own baseline is better than another entry's.
+OWN_BASELINE_GROUPS = 4
 
 
 class StageBaseline:
-    """The time of one stage without queueing; not safe without its owner's lock."""
+    """The duration of one stage without queueing; the owner must hold a lock."""
 
     def __init__(self) -> None:
         self._group: list[float] = []
@@ -40,34 +41,34 @@
 
     @property
     def seconds(self) -> float | None:
-        """Seconds without queueing; None before the first time."""
+        """Seconds without queueing; None before the first measurement."""
         return self._baseline
 
     def add(self, seconds: float) -> None:
-        """Take one measured time."""
+        """Add one measured duration."""
         if self._baseline is None:
             self._baseline = seconds
         self._group.append(seconds)
-        if len(self._group) == BASELINE_GROUP:
-            mean = sum(self._group) / BASELINE_GROUP
+        if len(self._group) == BASELINE_GROUP_SIZE:
+            mean = sum(self._group) / BASELINE_GROUP_SIZE
             self._baseline = min(self._baseline, mean)
             self._groups += 1
             self._group.clear()
 
     def raise_by(self, factor: float) -> None:
-        """Correct a baseline that turned out to be too low."""
+        """Multiply a baseline that proved too low by a factor."""
         if self._baseline is not None:
             self._baseline *= factor
 
-    def take(self, seconds: float) -> None:
-        """Take a baseline that another entry measured, while the own is new."""
-        if self._groups < OWN_GROUPS:
-            known = seconds if self._baseline is None else self._baseline
-            self._baseline = min(known, seconds)
+    def adopt(self, seconds: float) -> None:
+        """Lower the baseline to another entry's while few groups were measured here."""
+        if self._groups < OWN_BASELINE_GROUPS:
+            current = seconds if self._baseline is None else self._baseline
+            self._baseline = min(current, seconds)
 
 
 class StageSample:
-    """The latest times of one stage; not safe without its owner's lock."""
+    """The latest durations of one stage; the owner must hold a lock."""
 
     def __init__(self) -> None:
         self._times: deque[tuple[float, float]] = deque(maxlen=SAMPLE_SIZE)
@@ -75,11 +76,11 @@
         self._sorted_at = float("-inf")
 
     def add(self, seconds: float, now: float) -> None:
-        """Take one measured time."""
+        """Add one measured duration."""
         self._times.append((now, seconds))
 
     def quantile(self, share: float, now: float) -> float:
-        """Return a quantile in seconds; 0 where nothing recent is known."""
+        """Return a quantile in seconds; 0 without recent measurements."""
         ordered = self._ordered(now)
         if not ordered:
             return 0.0
@@ -88,7 +89,7 @@
         return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
     def mean(self, now: float) -> float:
-        """Return the mean in seconds; 0 where nothing recent is known."""
+        """Return the mean in seconds; 0 without recent measurements."""
         ordered = self._ordered(now)
         return sum(ordered) / len(ordered) if ordered else 0.0
 
@@ -101,7 +102,7 @@
 
 
 class StageTimes:
-    """The samples by pipeline and stage."""
+    """The samples and baselines by pipeline and stage."""
 
     def __init__(self) -> None:
         self._samples: dict[tuple[str, str], StageSample] = {}
@@ -117,7 +118,7 @@
         now: float,
         streamed: bool = False,
     ) -> None:
-        """Take one measured time."""
+        """Add one measured duration."""
         with self._lock:
             sample = self._samples.setdefault((pipeline, stage), StageSample())
             sample.add(seconds, now)
@@ -126,41 +127,41 @@
     def multiple(
         self, pipeline: str, stage: str, seconds: float, streamed: bool = False
     ) -> float:
-        """Return a time as a multiple of the stage's baseline."""
+        """Return a duration as a multiple of the stage's baseline."""
         with self._lock:
-            known = self._baselines.get((pipeline, stage, streamed))
-            baseline = known.seconds if known else None
+            measured = self._baselines.get((pipeline, stage, streamed))
+            baseline = measured.seconds if measured else None
         return seconds / max(baseline or seconds, MIN_BASELINE_SECONDS)
 
     def quantile(self, pipeline: str, stage: str, share: float, now: float) -> float:
-        """Return a quantile of a stage in seconds; 0 where nothing is known."""
+        """Return a quantile of a stage in seconds; 0 without recent measurements."""
         with self._lock:
             sample = self._samples.get((pipeline, stage))
             return sample.quantile(share, now) if sample else 0.0
 
     def mean(self, pipeline: str, stage: str, now: float) -> float:
-        """Return the mean of a stage in seconds; 0 where nothing is known."""
+        """Return the mean of a stage in seconds; 0 without recent measurements."""
         with self._lock:
             sample = self._samples.get((pipeline, stage))
             return sample.mean(now) if sample else 0.0
 
     def raise_baseline(self, pipeline: str, stage: str, factor: float) -> None:
-        """Correct the baselines of a stage that turned out to be too low."""
+        """Multiply the baselines of a stage, which proved too low, by a factor."""
         with self._lock:
             for streamed in (False, True):
-                known = self._baselines.get((pipeline, stage, streamed))
-                if known is not None:
-                    known.raise_by(factor)
+                baseline = self._baselines.get((pipeline, stage, streamed))
+                if baseline is not None:
+                    baseline.raise_by(factor)
 
     def baseline(self, pipeline: str, stage: str) -> float:
-        """Return a stage's seconds without queueing; 0 where nothing is known.
+        """Return a stage's seconds without queueing; 0 if never measured.
 
-        Of whole and streamed answers the longer counts.
+        The longer one of the baselines for whole and for streamed answers is returned.
         """
         with self._lock:
             kinds = ((pipeline, stage, streamed) for streamed in (False, True))
-            known = [self._baselines[key] for key in kinds if key in self._baselines]
-            return max((baseline.seconds or 0.0 for baseline in known), default=0.0)
+            present = [self._baselines[key] for key in kinds if key in self._baselines]
+            return max((baseline.seconds or 0.0 for baseline in present), default=0.0)
 
     def baselines(self) -> dict[tuple[str, str, bool], float]:
         """Return every baseline in seconds.
@@ -168,18 +169,18 @@
         :returns: by pipeline, stage and whether the answers are streamed.
         """
         with self._lock:
-            known = self._baselines.items()
-            return {k: b.seconds for k, b in known if b.seconds is not None}
+            items = self._baselines.items()
+            return {k: b.seconds for k, b in items if b.seconds is not None}
 
     def take_baseline(
         self, pipeline: str, stage: str, seconds: float, streamed: bool = False
     ) -> None:
-        """Take a baseline of another entry, where it is lower and the own is new.
+        """Use another entry's baseline if it is lower and the own one is new.
 
-        An entry that starts under load has never seen its servers without a queue.
+        An entry that starts under load has not measured its servers without a queue.
         """
         with self._lock:
-            self._baseline_of(pipeline, stage, streamed).take(seconds)
+            self._baseline_of(pipeline, stage, streamed).adopt(seconds)
 
     def _baseline_of(self, pipeline: str, stage: str, streamed: bool) -> StageBaseline:
         return self._baselines.setdefault((pipeline, stage, streamed), StageBaseline())
--- a/boragestream/policy/times.py
+++ b/boragestream/policy/times.py
@@ -1,7 +1,7 @@
-"""Recent times of stages, and their quantiles.
+"""Recent durations of calls, and their quantiles.
 
-A ring of the latest times is kept for each kind of call. It is small and exact and
-forgets, which a histogram over the whole life would not.
+A ring buffer holds the latest durations for each kind of call. Unlike a histogram since
+the start of the process, it is small and exact and drops old durations.
 """
 
 import threading
@@ -11,40 +11,40 @@
 
 __all__ = ["RecentTimes"]
 
-KEPT_TIMES = 256
-# Older times are dropped beyond the least number: those of an overload that is over
-# would have calls given up that can be answered.
-KEPT_SECONDS = 3.0
-LEAST_TIMES = 8
-# Quantiles are worked out anew after so many further times.
+MAX_TIMES = 256
+# Older durations are dropped as long as the minimum number remains. Durations from an
+# overload that has ended would make calls that can be answered be abandoned.
+MAX_AGE_SECONDS = 3.0
+MIN_TIMES = 8
+# The durations are sorted again after this number of additions.
 REFRESH_TIMES = 16
 REFRESH_SECONDS = 0.25
 
 
 class _Ring:
     def __init__(self) -> None:
-        self.times: deque[tuple[float, float]] = deque(maxlen=KEPT_TIMES)
+        self.times: deque[tuple[float, float]] = deque(maxlen=MAX_TIMES)
         self.ordered: list[float] = []
         self.added = 0
         self.refreshed_at = 0.0
 
     def is_due(self, now: float) -> bool:
-        """Tell whether the quantiles shall be worked out anew."""
-        several = self.added % REFRESH_TIMES == 0 or len(self.times) == LEAST_TIMES
-        return several or now - self.refreshed_at >= REFRESH_SECONDS
+        """Return whether the durations must be sorted again."""
+        enough_added = self.added % REFRESH_TIMES == 0 or len(self.times) == MIN_TIMES
+        return enough_added or now - self.refreshed_at >= REFRESH_SECONDS
 
     def refresh(self, now: float) -> None:
-        """Drop old times and order the others."""
-        while len(self.times) > LEAST_TIMES and now - self.times[0][0] > KEPT_SECONDS:
+        """Drop old durations and sort the others."""
+        while len(self.times) > MIN_TIMES and now - self.times[0][0] > MAX_AGE_SECONDS:
             self.times.popleft()
         self.ordered = sorted(seconds for _, seconds in self.times)
         self.refreshed_at = now
 
 
 class RecentTimes:
-    """The latest times by kind of call.
+    """The latest durations by kind of call.
 
-    :param clock: tells how old a time is.
+    :param clock: determines the age of a duration.
     """
 
     def __init__(self, clock: Clock | None = None) -> None:
@@ -53,7 +53,7 @@
         self._lock = threading.Lock()
 
     def add(self, kind: str, seconds: float) -> None:
-        """Take one time."""
+        """Add one duration."""
         now = self._clock.now()
         with self._lock:
             ring = self._rings.setdefault(kind, _Ring())
@@ -63,12 +63,12 @@
                 ring.refresh(now)
 
     def quantile(self, kind: str, share: float) -> float | None:
-        """Return a quantile in seconds; None before enough times are known.
+        """Return a quantile in seconds; None with fewer than the minimum of durations.
 
-        :param share: which quantile, 0 to 1.
+        :param share: the quantile to return, 0 to 1.
         """
         ring = self._rings.get(kind)
         ordered = ring.ordered if ring else []
-        if len(ordered) < LEAST_TIMES:
+        if len(ordered) < MIN_TIMES:
             return None
         return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
--- a/boragestream/policy/waiting.py
+++ b/boragestream/policy/waiting.py
@@ -1,8 +1,8 @@
-"""Calls of a service that wait for a server with room, earliest deadline first.
+"""Queues of calls that wait for a server with room, earliest deadline first.
 
-The wait is bounded by the time that each call can spare; a call that cannot be served
-in it is given up at once, and told when the backlog will be gone. Which server has
-room is left to ``policy.routing``.
+Each call waits at most for its slack. A call that can't be served within that time is
+refused at once, with the time at which the backlog is expected to be drained.
+``policy.routing`` decides which server has room.
 """
 
 import bisect
@@ -19,17 +19,18 @@
 
 Chosen = TypeVar("Chosen")
 
-__all__ = ["ServiceSaturated", "WaitingLine", "WaitingLines"]
+__all__ = ["CallQueue", "ServiceSaturated", "WaitingLines"]
 
-# Reports fade and limits rise without a signal, so that the first in line looks again.
-FIRST_LOOKS_SECONDS = 0.01
-OTHERS_LOOK_SECONDS = 0.05
-RATE_ENDS = 64
-RATE_SECONDS = 5.0
-LEAST_ENDS = 8
+# Load reports expire and limits rise without a signal to the waiting calls, so that
+# these poll; the first of the queue polls more often.
+FIRST_POLL_SECONDS = 0.01
+OTHERS_POLL_SECONDS = 0.05
+MAX_RATE_SAMPLES = 64
+RATE_SAMPLE_SECONDS = 5.0
+MIN_RATE_SAMPLES = 8
 UNKNOWN_RETRY_SECONDS = 1.0
-LEAST_RETRY_SECONDS = 0.05
-MOST_RETRY_SECONDS = 30.0
+MIN_RETRY_SECONDS = 0.05
+MAX_RETRY_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,8 +38,8 @@
     """No server of the service has room within the time that the call can spare.
 
     :ivar service: the service's name.
-    :ivar waiting: calls of this entry that wait for it.
-    :ivar retry_after: seconds until the backlog is expected to be gone.
+    :ivar waiting: the number of calls of this entry that wait for it.
+    :ivar retry_after: seconds until the backlog is expected to be drained.
     """
 
     service: str
@@ -53,11 +54,11 @@
     woken: threading.Event = field(default_factory=threading.Event, compare=False)
 
 
-class WaitingLine:
+class CallQueue:
     """The waiting calls of one service.
 
     :param service: the service's name.
-    :param rng: spreads the times at which callers come back.
+    :param rng: randomizes the times at which callers retry.
     """
 
     def __init__(self, service: str, clock: Clock, rng: random.Random) -> None:
@@ -66,12 +67,12 @@
         self._rng = rng
         self._waiters: list[_Waiter] = []
         self._numbers = itertools.count()
-        self._ends: deque[float] = deque(maxlen=RATE_ENDS)
+        self._ends: deque[float] = deque(maxlen=MAX_RATE_SAMPLES)
         self._lock = threading.Lock()
 
     @property
     def waiting(self) -> int:
-        """How many calls wait."""
+        """The number of calls that wait."""
         return len(self._waiters)
 
     def take(
@@ -80,19 +81,20 @@
         latest: float,
         cancelled: Callable[[], bool],
     ) -> Chosen | ServiceSaturated:
-        """Return what was chosen, waiting for room where there is none.
+        """Reserve room on a server, waiting for it if there is none.
 
-        :param choose: takes room on a server, or returns None; it is called by one
+        :param choose: reserves room on a server, or returns None; it is called by one
             thread at a time.
         :param latest: the clock's seconds up to which the call can wait.
-        :param cancelled: tells whether the call is not wanted any more.
+        :param cancelled: returns whether the call has been cancelled.
+        :returns: the result of ``choose``, or a failure if no room was found in time.
         """
         with self._lock:
             first = not self._waiters or latest < self._waiters[0].latest
             chosen = choose() if first else None
             if chosen is not None:
                 return chosen
-            if self._is_hopeless(latest):
+            if self._is_too_late(latest):
                 return self._saturated()
             waiter = _Waiter(latest, next(self._numbers))
             bisect.insort(self._waiters, waiter)
@@ -104,17 +106,17 @@
                 self._wake_first()
 
     def note_end(self) -> None:
-        """Count a call of the service that has ended, and let the next one look."""
+        """Record that a call of the service has ended; wake the first waiting one."""
         with self._lock:
             self._ends.append(self._clock.now())
             self._wake_first()
 
     def drain_rate(self) -> float | None:
-        """Return the calls that end in a second; None while that is unknown."""
-        oldest = self._clock.now() - RATE_SECONDS
+        """Return the number of calls that end in a second; None while unknown."""
+        oldest = self._clock.now() - RATE_SAMPLE_SECONDS
         while self._ends and self._ends[0] < oldest:
             self._ends.popleft()
-        if len(self._ends) < LEAST_ENDS:
+        if len(self._ends) < MIN_RATE_SAMPLES:
             return None
         passed = self._clock.now() - self._ends[0]
         return len(self._ends) / max(passed, 0.001)
@@ -127,9 +129,9 @@
     ) -> Chosen | ServiceSaturated:
         while True:
             first = self._waiters[0] is waiter
-            look = FIRST_LOOKS_SECONDS if first else OTHERS_LOOK_SECONDS
+            poll_seconds = FIRST_POLL_SECONDS if first else OTHERS_POLL_SECONDS
             left = waiter.latest - self._clock.now()
-            waiter.woken.wait(max(0.0, min(look, left)))
+            waiter.woken.wait(max(0.0, min(poll_seconds, left)))
             waiter.woken.clear()
             with self._lock:
                 first = self._waiters[0] is waiter
@@ -139,8 +141,8 @@
                 if self._clock.now() >= waiter.latest or cancelled():
                     return self._saturated()
 
-    def _is_hopeless(self, latest: float) -> bool:
-        """Tell whether the calls with earlier deadlines use up the time."""
+    def _is_too_late(self, latest: float) -> bool:
+        """Return whether calls with earlier deadlines would use up the time left."""
         now = self._clock.now()
         if latest <= now:
             return True
@@ -154,7 +156,7 @@
         rate = self.drain_rate()
         backlog = len(self._waiters) + 1
         seconds = backlog / rate if rate else UNKNOWN_RETRY_SECONDS
-        bounded = min(MOST_RETRY_SECONDS, max(LEAST_RETRY_SECONDS, seconds))
+        bounded = min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, seconds))
         spread = bounded * self._rng.uniform(1.0, 1.5)
         return ServiceSaturated(self._service, len(self._waiters), spread)
 
@@ -164,19 +166,19 @@
 
 
 class WaitingLines:
-    """The lines by service."""
+    """The queues by service."""
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         self._clock = clock
         self._rng = rng
-        self._lines: dict[str, WaitingLine] = {}
+        self._queues: dict[str, CallQueue] = {}
         self._lock = threading.Lock()
 
-    def of(self, service: str) -> WaitingLine:
-        """Return the line of a service."""
-        line = self._lines.get(service)
-        if line is None:
+    def of(self, service: str) -> CallQueue:
+        """Return the queue of a service."""
+        queue = self._queues.get(service)
+        if queue is None:
             with self._lock:
-                fresh = WaitingLine(service, self._clock, self._rng)
-                line = self._lines.setdefault(service, fresh)
-        return line
+                fresh = CallQueue(service, self._clock, self._rng)
+                queue = self._queues.setdefault(service, fresh)
+        return queue
--- a/tests/features/steps/load_gone.py
+++ b/tests/features/steps/load_gone.py
@@ -120,7 +120,7 @@
         admitted.begin_stage(last.name)
         context.clock.seconds += seconds
         admitted.end_stage(last.name, timed=True, whole=True, streamed=streamed)
-        context.windows.give_up(admitted)
+        context.windows.release_all(admitted)
 
 
 @then("the last stage's service has no narrower window than before")
--- a/tests/features/steps/policy_waiting.py
+++ b/tests/features/steps/policy_waiting.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from boragestream.policy.servers import Server
-from boragestream.policy.waiting import ServiceSaturated, WaitingLine
+from boragestream.policy.waiting import CallQueue, ServiceSaturated
 from tests.standins.clock import SetClock
 from tests.standins.fleet import wait_until
 
@@ -18,7 +18,7 @@
 @given("a line before a service without room")
 def step(context):
     context.clock = SetClock()
-    context.line = WaitingLine("pool", context.clock, random.Random(3))
+    context.line = CallQueue("pool", context.clock, random.Random(3))
     context.room = threading.Semaphore(0)
     context.gone = False
     context.served = []
--- a/tests/features/steps/slot_shares.py
+++ b/tests/features/steps/slot_shares.py
@@ -124,7 +124,7 @@
 @given("a window that was cut to its least")
 def step(context):
     context.window = ServiceWindow(0.0)
-    context.window.ask(0.0, 1.0)
+    context.window.request_room(0.0, 1.0)
     for began in (1.0, 2.0, 3.0):
         context.window.overflow(began, began + 0.5)
     assert context.window.limit == MIN_LIMIT
@@ -134,13 +134,13 @@
     "a request asks for room with a share of {slots:d} slots after {seconds:d} seconds"
 )
 def step(context, slots, seconds):
-    context.window.ask(float(slots), 1.0 + seconds)
+    context.window.request_room(float(slots), 1.0 + seconds)
 
 
 @given("a window with a share of {slots:d} slots")
 def step(context, slots):
     context.window = ServiceWindow(0.0)
-    context.window.ask(float(slots), 1.0)
+    context.window.request_room(float(slots), 1.0)
 
 
 @when("it is fully used and its stages are quick")
