--- a/boragestream/policy/admission.py
+++ b/boragestream/policy/admission.py
@@ -180,7 +180,7 @@
         over = candidate.uses("account-limits") and self._gate.enter(candidate.account)
         if not over:
             return None
-        return Refused(over[0], self._expected.retry_about(over[1]))
+        return Refused(over[0], self._expected.retry_after_seconds(over[1]))
 
     def _deadline_refusal(
         self, candidate: Candidate, now: float, wait: float = 0.0
--- a/boragestream/policy/budgets.py
+++ b/boragestream/policy/budgets.py
@@ -1,21 +1,21 @@
-"""Bounds extra attempts to a share of the first ones.
+"""Limits additional attempts to a share of the first attempts.
 
-Retries and hedges each draw on a budget of their service. A share instead of a rate
-keeps the extra load in proportion at any size, so that failures under load cannot
-feed on themselves.
+Each service has one budget for retries and one for hedges. As a share, unlike a rate,
+the additional load is proportional to the load at any scale, so that failures under
+load can't cause a retry storm.
 """
 
 import threading
 
 __all__ = ["AttemptBudget", "BudgetTable"]
 
-# What a quiet service may spend before its own requests have earned anything.
+# The budget of a service before its first attempts have earned any tokens.
 START_TOKENS = 2.0
-MOST_TOKENS = 10.0
+MAX_TOKENS = 10.0
 
 
 class AttemptBudget:
-    """Tokens earned by first attempts and spent on extra ones."""
+    """Tokens that first attempts earn and additional attempts spend."""
 
     def __init__(self) -> None:
         self._tokens = START_TOKENS
@@ -23,19 +23,19 @@
 
     @property
     def tokens(self) -> float:
-        """The extra attempts that may be made now."""
+        """The number of additional attempts that may be made now."""
         return self._tokens
 
     def earn(self, share: float) -> None:
-        """Count a first attempt.
+        """Add the tokens of a first attempt.
 
-        :param share: extra attempts for each first one, 0 to 1.
+        :param share: additional attempts per first attempt, 0 to 1.
         """
         with self._lock:
-            self._tokens = min(MOST_TOKENS, self._tokens + share)
+            self._tokens = min(MAX_TOKENS, self._tokens + share)
 
     def spend(self) -> bool:
-        """Take one token; False where there is none."""
+        """Spend one token; return False if there is none."""
         with self._lock:
             if self._tokens < 1.0:
                 return False
--- a/boragestream/policy/demand.py
+++ b/boragestream/policy/demand.py
@@ -1,9 +1,9 @@
-"""What the entries tell one another of their load and of the accounts' demand.
+"""The load and the accounts' demand that the entries report to one another.
 
-A report belongs to the entry that made it and is valid for a lease. Ages travel with
-the reports, since the clocks of two instances are not compared. An entry that is listed
-and has not reported yet is expected for a lease, so that nobody takes its share while
-it starts. How reports travel is left to ``entry.demand``.
+A report is valid for the duration of a lease. Each report is sent with its age, since
+the clocks of two instances are not compared. A listed entry without a report is
+expected to report within a lease, so that its share stays reserved while it starts.
+``entry.demand`` transmits the reports.
 """
 
 import threading
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountDemand:
-    """What one client account asks of one entry, and the share held for it there.
+    """The demand of a client account at one entry, and the share it holds there.
 
-    :ivar rate: requests that arrive in a second, refused ones included.
-    :ivar slots: requests that would be in hand at once, refused ones included.
+    :ivar rate: requests per second that arrive, refused ones included.
+    :ivar slots: concurrent requests that would be in progress, refused ones included.
     :ivar held_rate: the entry's share of ``requests_per_second``.
     :ivar held_slots: the entry's share of ``concurrency``.
     """
@@ -35,11 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryReport:
-    """What one entry reports.
+    """The report of one entry.
 
-    :ivar sequence: rises with each report of an incarnation.
-    :ivar load: 0 for an idle entry to 1 for one that refuses.
-    :ivar accounts: by the account's name in a short form, see ``entry.demand``.
+    :ivar sequence: increases with each report of an incarnation.
+    :ivar load: from 0 for an idle entry to 1 for one that refuses requests.
+    :ivar accounts: demand by a short form of the account's name, see ``entry.demand``.
     """
 
     entry: str
@@ -50,14 +50,14 @@
 
     @property
     def identity(self) -> tuple[str, int]:
-        """What two copies of one report share."""
+        """Identifies the report, so that copies of it can be recognized."""
         return (self.incarnation, self.sequence)
 
 
 class DemandTable:
     """The latest report of every other entry.
 
-    :param own: this entry's name; reports under it are left alone.
+    :param own: this entry's name; reports under this name are ignored.
     """
 
     def __init__(self, own: str, clock: Clock) -> None:
@@ -69,7 +69,7 @@
         self._lock = threading.Lock()
 
     def expect(self, listed: Iterable[str]) -> None:
-        """Take the names of the entries that are listed."""
+        """Set the names of the listed entries; new ones are expected to report."""
         now = self._clock.now()
         with self._lock:
             names = frozenset(listed) - {self._own}
@@ -78,30 +78,30 @@
             self._listed = names
 
     def expect_again(self) -> None:
-        """Forget every report, as after a pause; all listed entries are expected."""
+        """Drop all reports, as after a pause, and expect one of each listed entry."""
         now = self._clock.now()
         with self._lock:
             self._reports.clear()
             self._expected = dict.fromkeys(self._listed, now)
 
     def take(self, report: EntryReport, age: float) -> bool:
-        """Take a report; True where it is news.
+        """Add a report; return whether it is valid and newer than the stored one.
 
-        :param age: seconds since it was made, at the least.
+        :param age: a lower bound of the seconds since the report was made.
         """
         if report.entry == self._own or age >= LEASE_SECONDS:
             return False
         made_at = self._clock.now() - max(0.0, age)
         with self._lock:
-            known = self._reports.get(report.entry)
-            if known is not None and not _is_newer(report, made_at, *known):
+            stored = self._reports.get(report.entry)
+            if stored is not None and not _is_newer(report, made_at, *stored):
                 return False
             self._reports[report.entry] = (made_at, report)
             self._expected.pop(report.entry, None)
             return True
 
     def fresh(self) -> dict[str, tuple[float, EntryReport]]:
-        """Return the reports whose lease has not expired, with their ages."""
+        """Return the reports whose lease has not expired, with ages in seconds."""
         now = self._clock.now()
         with self._lock:
             return {
@@ -111,7 +111,7 @@
             }
 
     def awaited(self) -> set[str]:
-        """Return the entries that are expected to report for the first time."""
+        """Return the entries whose first report is expected."""
         now = self._clock.now()
         with self._lock:
             return {
@@ -120,9 +120,9 @@
 
 
 def _is_newer(
-    report: EntryReport, made_at: float, known_at: float, known: EntryReport
+    report: EntryReport, made_at: float, stored_at: float, stored: EntryReport
 ) -> bool:
-    if report.incarnation == known.incarnation:
-        return report.sequence > known.sequence
-    # Incarnations have no order; the later report is of the one that runs.
-    return made_at > known_at
+    if report.incarnation == stored.incarnation:
+        return report.sequence > stored.sequence
+    # Incarnations have no order, so that the later report is of the running one.
+    return made_at > stored_at
--- a/boragestream/policy/drain_rate.py
+++ b/boragestream/policy/drain_rate.py
@@ -1,45 +1,46 @@
-"""How many requests of a pipeline end in a second, as this entry sees it.
+"""The rate at which requests of a pipeline end on this entry.
 
-Two estimates are joined: the ends counted over the latest seconds, and Little's law on
-what runs now, which already answers before enough requests have ended.
+The rate is the larger of two estimates: the requests that ended in the last seconds,
+and Little's law applied to the running requests, which is available before enough
+requests have ended.
 """
 
 from collections import deque
 
 __all__ = ["DrainRate"]
 
-COUNTED_SECONDS = 2.0
-MAX_ENDS = 512
+SAMPLE_SECONDS = 2.0
+MAX_SAMPLES = 512
 
 
 class DrainRate:
-    """The ends of one pipeline's requests; not safe without its owner's lock."""
+    """The ends of one pipeline's requests; the owner must hold a lock."""
 
     def __init__(self) -> None:
-        self._ends: deque[float] = deque(maxlen=MAX_ENDS)
+        self._ends: deque[float] = deque(maxlen=MAX_SAMPLES)
         self._running = 0
 
     @property
     def running(self) -> int:
-        """How many requests are under way."""
+        """The number of requests in progress."""
         return self._running
 
     def begin(self) -> None:
-        """Count a request that begins."""
+        """Record that a request begins."""
         self._running += 1
 
     def end(self, now: float) -> None:
-        """Count a request that has ended."""
+        """Record that a request has ended."""
         self._running -= 1
         self._ends.append(now)
 
     def per_second(self, now: float, running_seconds: float) -> float:
-        """Return the rate; 0 where nothing is known.
+        """Return the number of requests that end in a second; 0 if unknown.
 
-        :param running_seconds: the mean time of a request; 0 where it is not known.
+        :param running_seconds: the mean seconds of a request; 0 if unknown.
         """
-        while self._ends and self._ends[0] < now - COUNTED_SECONDS:
+        while self._ends and self._ends[0] < now - SAMPLE_SECONDS:
             self._ends.popleft()
-        counted = len(self._ends) / COUNTED_SECONDS
+        counted = len(self._ends) / SAMPLE_SECONDS
         expected = self._running / running_seconds if running_seconds > 0 else 0.0
         return max(counted, expected)
--- a/boragestream/policy/expectations.py
+++ b/boragestream/policy/expectations.py
@@ -1,7 +1,7 @@
-"""What an entry expects of a request: the time it needs, its wait, when to return.
+"""Estimates of a request's duration, wait and retry time.
 
-All of it follows from measured stage times and from the requests that ended lately.
-Deciding by it is left to ``policy.admission``.
+The estimates are derived from measured stage durations and from the requests that ended
+recently. ``policy.admission`` decides by them.
 """
 
 import random
@@ -19,16 +19,16 @@
 
 __all__ = ["Expectations"]
 
-# A caller that another entry can serve at once need not wait.
-ELSEWHERE_SECONDS = 0.1
-UNKNOWN_SECONDS = 1.0
+# Another entry can serve the caller at once, so that it need not wait.
+RETRY_ELSEWHERE_SECONDS = 0.1
+RETRY_UNKNOWN_SECONDS = 1.0
 MIN_COST_SECONDS = 0.001
 
 
 class Expectations:
-    """The expectations by pipeline; not safe without its owner's lock.
+    """The estimates by pipeline; the owner must hold a lock.
 
-    :param rng: spreads the times to return.
+    :param rng: randomizes the retry times.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -39,23 +39,24 @@
 
     @property
     def times(self) -> StageTimes:
-        """The measured times of the stages."""
+        """The measured durations of the stages."""
         return self._times
 
     def begin(self, pipeline: Pipeline) -> None:
-        """Count a request that begins."""
+        """Record that a request begins."""
         self._drains.setdefault(pipeline.name, DrainRate()).begin()
 
     def end(self, pipeline: Pipeline, now: float) -> None:
-        """Count a request that has ended."""
+        """Record that a request has ended."""
         self._drains[pipeline.name].end(now)
 
     def needed(self, pipeline: Pipeline, now: float) -> float:
         """Return the seconds that a request needs once it has begun.
 
-        With none under way the latest times tell of a load that has gone. Keeping to
-        them would refuse every request until they are forgotten, since only requests
-        that begin can bring newer ones.
+        If no request is in progress, the latest durations reflect a load that has
+        ended, and the durations on idle servers apply as an upper bound. Otherwise all
+        requests would be refused until the durations expire, since only requests that
+        begin can produce new ones.
         """
         needed = needed_seconds(self._times, pipeline, now)
         drain = self._drains.get(pipeline.name)
@@ -64,38 +65,38 @@
         return min(needed, idle_seconds(self._times, pipeline))
 
     def cost(self, pipeline: Pipeline, now: float) -> float:
-        """Return what a request costs in a fair queue."""
+        """Return the cost of a request in a fair queue."""
         return max(running_seconds(self._times, pipeline, now), MIN_COST_SECONDS)
 
     def wait(self, pipelines: Iterable[Pipeline], ahead: float, now: float) -> float:
-        """Return the seconds until a request that joins a queue begins.
+        """Return the seconds until a new request in a queue is expected to begin.
 
-        :param pipelines: those that wait for the same services.
-        :param ahead: how many requests of these begin before it.
+        :param pipelines: the pipelines that compete for the same services.
+        :param ahead: the number of requests of these that begin before it.
         """
         rate = sum(self._drain_rate(pipeline, now) for pipeline in pipelines)
         return (ahead + 1) / rate if rate > 0 else 0.0
 
     def retry_after(self, pipeline: Pipeline, waiting: int, now: float) -> float:
-        """Return when one more caller of a pipeline shall come back, in seconds.
+        """Return the seconds after which another caller of a pipeline should retry.
 
-        :param waiting: how many requests of the pipeline wait.
+        :param waiting: the number of waiting requests of the pipeline.
         """
         schedule = self._returns.setdefault(pipeline.name, ReturnSchedule(self._rng))
         rate = self._drain_rate(pipeline, now)
-        wait = waiting / rate if rate > 0 else UNKNOWN_SECONDS
+        wait = waiting / rate if rate > 0 else RETRY_UNKNOWN_SECONDS
         return schedule.retry_after(now, wait, rate)
 
     def retry_elsewhere(self) -> float:
-        """Return when to try another entry."""
-        return spread(ELSEWHERE_SECONDS, self._rng)
+        """Return the seconds until a retry at another entry."""
+        return spread(RETRY_ELSEWHERE_SECONDS, self._rng)
 
     def retry_unknown(self) -> float:
-        """Return when to come back where nothing is known of the backlog."""
-        return spread(UNKNOWN_SECONDS, self._rng)
+        """Return the seconds until a retry if the backlog is unknown."""
+        return spread(RETRY_UNKNOWN_SECONDS, self._rng)
 
-    def retry_about(self, seconds: float) -> float:
-        """Return when to come back for what is free after some seconds."""
+    def retry_after_seconds(self, seconds: float) -> float:
+        """Return the seconds until a retry for capacity that is free after a time."""
         return spread(seconds, self._rng)
 
     def _drain_rate(self, pipeline: Pipeline, now: float) -> float:
--- a/boragestream/policy/piece_queue.py
+++ b/boragestream/policy/piece_queue.py
@@ -1,11 +1,11 @@
-"""The queue of pieces for one stage service, and which of them go out together.
-
-One entry at a time keeps the queue of a service, so that the pieces of all entries meet
-in one batch: a call has a fixed time that is longer than that of most of its pieces.
-Orders go out by their latest start; those that would be late anyway go last, because a
-late answer is worth a fraction. Whether an order can still be met is told when it
-comes, so that its caller hears a refusal at once. Sending the batches is left to
-``serving``.
+"""Scheduling rules of a stage service's queue: admission, order and batching of pieces.
+
+One entry at a time owns the queue of a service, so that pieces of all entries can share
+a batch: the fixed time of a call is longer than the time of most pieces. Orders are
+sent by their latest start. Orders that would be late in any case are sent last, because
+a late answer is worth a fraction. An order that is not expected to start in time is
+refused on arrival, so that its caller gets the refusal at once. ``serving`` sends the
+batches.
 """
 
 import math
@@ -22,52 +22,50 @@
     "ServerRoom",
     "choose_batch",
     "expected_wait",
+    "is_abandoned",
     "is_admitted",
     "is_bookable",
-    "is_hopeless",
     "longest_wait",
     "place_of",
 ]
 
-# How much of the time until its latest start an order may be expected to wait before it
-# is refused, by priority; what is less urgent is refused earlier.
+# The maximum expected wait of an order, by priority, as a share of the time until its
+# latest start. Less urgent orders are refused earlier.
 ADMITTED_SHARE = (1.0, 0.9, 0.8)
-# The same for a later stage of a chain that has not begun. The rest is kept back: the
-# stages before it take their time, and an answer that is late for want of a margin is
-# worth a seventh.
+# The same for a booked stage of a chain that has not begun. The remaining share is a
+# margin for the earlier stages; an answer that is late without it is worth a seventh.
 BOOKED_SHARE = (0.85, 0.75, 0.65)
-# A short queue is joined also by what seems to be late already: nobody is kept waiting,
-# and what is kept back for the engine is more than most need.
+# A wait of this length is always accepted, even by an order that seems to be late: it
+# delays no caller noticeably, and the time reserved for the engine exceeds most needs.
 SHORT_WAIT_SECONDS = 0.25
-# An order goes before one that is more urgent by a level of priority only where its
-# latest start is so much earlier. Less, and a chain of several stages, which has little
-# time to spare, is served less often than less urgent requests of one stage; more, and
-# what is two levels below is hardly served in bursts.
+# An order precedes one that is a priority level more urgent only if its latest start is
+# earlier by this time. With a lower value, chains of several stages, which have little
+# slack, are served less often than less urgent requests of one stage. With a higher
+# value, orders two levels below are hardly served in bursts.
 PRIORITY_SECONDS = 0.25
 
 
-# An order that is late when it comes is taken where it need not wait longer than this
-# for places that are left over.
+# An order that is late on arrival is accepted if it is expected to wait no longer than
+# this for spare places in a batch.
 LATE_WAIT_SECONDS = 0.5
-# An order that is late takes places that are left over. One that finds none for so long
-# is given up; where earlier stages were done for it, a late answer is still worth more
-# than theirs thrown away.
-LATE_SECONDS = 0.5
-INVESTED_LATE_SECONDS = 1.5
+# A late order takes spare places in batches, and is abandoned if it gets none for this
+# time. The time is longer after earlier stages, since a late answer is worth more than
+# the loss of their results.
+LATE_GRACE_SECONDS = 0.5
+INVESTED_LATE_GRACE_SECONDS = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class PieceOrder:
-    """Pieces of one stage that one request needs.
+    """The pieces of one stage that a request needs.
 
-    :ivar order_id: names the order on all entries.
+    :ivar order_id: identifies the order on all entries.
     :ivar result_bytes: the approximate size of one result.
     :ivar priority: 0 is the most urgent.
-    :ivar invested: whether results of earlier stages would be lost with it.
-    :ivar near: the data centre where much that it reads lies; empty for none.
-    :ivar regions: where alone its pieces may be made; empty for anywhere.
-    :ivar fingerprint: tells the request from others over all its returns; empty where
-        that is not known.
+    :ivar invested: whether results of earlier stages are lost if it is dropped.
+    :ivar near: the data centre that holds much of its input; empty for none.
+    :ivar regions: the only regions where its pieces may run; empty for any.
+    :ivar fingerprint: identifies the request over all its retries; empty if unknown.
     """
 
     order_id: str
@@ -83,11 +81,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PieceBooking:
-    """Pieces of a later stage that a chain will order once its earlier stages are done.
+    """The pieces of a later stage that a chain orders when its earlier stages are done.
 
-    :ivar order_id: of the order to come.
-    :ivar key: the request's piece key, the same in each try of its caller.
-    :ivar regions: where alone its pieces may be made; empty for anywhere.
+    :ivar order_id: the id of the later order.
+    :ivar key: the request's piece key, the same in each attempt of its caller.
+    :ivar regions: the only regions where its pieces may run; empty for any.
     """
 
     order_id: str
@@ -103,10 +101,10 @@
 class QueuedOrder:
     """An order in the queue.
 
-    :ivar start_by: the clock's seconds at which it must start to meet the objective.
-    :ivar expires: the clock's seconds at which nobody waits for it any more.
-    :ivar left: its pieces that are not under way.
-    :ivar came: when it came, in the clock's seconds.
+    :ivar start_by: the clock's seconds by which it must start to meet the objective.
+    :ivar expires: the clock's seconds at which its caller stops waiting.
+    :ivar left: its pieces that are in no call.
+    :ivar came: the clock's seconds at which it arrived.
     :ivar suspected: whether a server has crashed while it ran the request.
     """
 
@@ -118,18 +116,19 @@
     suspected: bool = False
 
     def place(self, now: float) -> tuple[bool, float]:
-        """Return its place in the queue; the smaller goes first."""
+        """Return its position in the queue; the smallest is first."""
         return place_of(self.start_by, self.order.priority, now)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRoom:
-    """What a server can take now.
+    """The room of one server, and when other servers are expected to be free.
 
-    :ivar free_bytes: room for results.
-    :ivar data_centre: where it is.
-    :ivar free_at: by data centre, when a server of the service is expected to be free
-        there, in the clock's seconds.
+    :ivar free_bytes: free memory for results.
+    :ivar data_centre: the server's data centre.
+    :ivar free_at: by data centre, the clock's seconds at which a server of the service
+        is expected to be free there.
+    :ivar region: the server's region.
     """
 
     free_bytes: float
@@ -139,7 +138,7 @@
 
 
 def place_of(start_by: float, priority: int, now: float) -> tuple[bool, float]:
-    """Return the place in the queue, with what is late behind all that is not."""
+    """Return the position in the queue; late orders are behind all others."""
     return start_by < now, start_by + PRIORITY_SECONDS * priority
 
 
@@ -148,10 +147,10 @@
 ) -> list[tuple[QueuedOrder, list[Piece]]]:
     """Return the pieces of the next call, by order.
 
-    An order is kept together where it fits, since its results are then read from one
-    place; a larger one than a whole batch is divided. A call takes one order at the
-    most under which a server has crashed: all that was cut together would be cut
-    together again.
+    An order that fits is not divided, since its results are then read from one server.
+    An order larger than a whole batch is divided. A call contains at most one order
+    under which a server has crashed, since orders that were cut off together would
+    otherwise be cut off together again.
     """
     chosen: list[tuple[QueuedOrder, list[Piece]]] = []
     places = limits.batch
@@ -159,7 +158,7 @@
     for queued in sorted(queue, key=lambda q: q.place(now)):
         if places <= 0:
             break
-        if _is_barred(queued, room) or _waits_for_near(queued, room):
+        if _is_region_excluded(queued, room) or _waits_for_near_server(queued, room):
             continue
         if queued.suspected and any(other.suspected for other, _ in chosen):
             continue
@@ -178,11 +177,11 @@
 def expected_wait(
     pieces_ahead: int, free_servers: int, servers: float, limits: PieceLimits
 ) -> float:
-    """Return the seconds until an order that joins the queue begins.
+    """Return the seconds until a new order in the queue is expected to begin.
 
-    :param pieces_ahead: pieces in the queue that go before it.
-    :param free_servers: how many servers have nothing to do.
-    :param servers: how many there are; one that takes few calls is a part of one.
+    :param pieces_ahead: the number of pieces ahead of it in the queue.
+    :param free_servers: the number of idle servers.
+    :param servers: the number of servers; one whose calls are limited is a fraction.
     """
     if free_servers > 0:
         return 0.0
@@ -190,18 +189,18 @@
         return float("inf")
     call = limits.call_seconds + limits.batch * limits.piece_seconds
     calls_ahead = pieces_ahead // limits.batch
-    # The servers end their calls one after the other, evenly spread.
+    # The ends of the servers' calls are assumed to be evenly spread.
     return call * (calls_ahead + 1) / servers
 
 
 def is_admitted(order: PieceOrder, wait: float, left: float) -> bool:
-    """Tell whether an order is taken.
+    """Return whether an order is accepted.
 
     :param wait: the expected wait in seconds.
     :param left: the seconds until its latest start.
     """
     if math.isinf(wait):
-        # There is no server: waiting for one only delays the refusal.
+        # There is no server, and waiting for one only delays the refusal.
         return False
     if order.invested or wait <= 0:
         return True
@@ -209,57 +208,59 @@
 
 
 def longest_wait(priority: int, left: float) -> float:
-    """Return how long a request may be expected to wait before it is refused.
+    """Return the longest expected wait in seconds with which a request is accepted.
 
     :param priority: 0 is the most urgent.
     :param left: the seconds until its latest start.
     """
     if left < 0:
         return LATE_WAIT_SECONDS
-    share = _of_priority(ADMITTED_SHARE, priority)
+    share = _share_for_priority(ADMITTED_SHARE, priority)
     return max(SHORT_WAIT_SECONDS, share * left)
 
 
 def is_bookable(booking: PieceBooking, wait: float, left: float) -> bool:
-    """Tell whether a later stage of a chain is likely to be met.
+    """Return whether a later stage of a chain is likely to start in time.
 
-    A chain that meets a full queue at its last stage has used up the servers of all
-    stages before it.
+    A chain that meets a full queue at its last stage has wasted the server time of all
+    earlier stages.
 
-    :param wait: the expected wait in seconds, if it were ordered now.
+    :param wait: the expected wait in seconds if the stage were ordered now.
     :param left: the seconds until its latest start.
     """
     if left < 0:
         return wait <= LATE_WAIT_SECONDS
-    share = _of_priority(BOOKED_SHARE, booking.priority)
+    share = _share_for_priority(BOOKED_SHARE, booking.priority)
     return wait <= max(SHORT_WAIT_SECONDS, share * left)
 
 
-def is_hopeless(queued: QueuedOrder, now: float) -> bool:
-    """Tell whether an order has been late for so long that it is given up."""
+def is_abandoned(queued: QueuedOrder, now: float) -> bool:
+    """Return whether an order has been late long enough to be abandoned."""
     order = queued.order
     if len(queued.left) < len(order.pieces):
         return False
-    patience = INVESTED_LATE_SECONDS if order.invested else LATE_SECONDS
-    return now > max(queued.start_by, queued.came) + patience
+    grace_seconds = (
+        INVESTED_LATE_GRACE_SECONDS if order.invested else LATE_GRACE_SECONDS
+    )
+    return now > max(queued.start_by, queued.came) + grace_seconds
 
 
-def _of_priority(shares: tuple[float, ...], priority: int) -> float:
+def _share_for_priority(shares: tuple[float, ...], priority: int) -> float:
     return shares[min(priority, len(shares) - 1)]
 
 
-def _is_barred(queued: QueuedOrder, room: ServerRoom) -> bool:
-    """Tell whether an order may not be made in a server's region."""
+def _is_region_excluded(queued: QueuedOrder, room: ServerRoom) -> bool:
+    """Return whether an order may not run in the server's region."""
     regions = queued.order.regions
     return bool(regions) and room.region not in regions
 
 
-def _waits_for_near(queued: QueuedOrder, room: ServerRoom) -> bool:
-    """Tell whether an order should wait for a server beside its inputs.
+def _waits_for_near_server(queued: QueuedOrder, room: ServerRoom) -> bool:
+    """Return whether an order should wait for a server in its inputs' data centre.
 
-    Each of its pieces reads all of its inputs, so that going elsewhere costs many times
-    their size on the links between data centres. It waits while a server there will be
-    free in time.
+    Each piece reads all inputs of the order, so that running it elsewhere transfers
+    many times their size between data centres. The order waits if a server near its
+    inputs is expected to be free in time.
     """
     near = queued.order.near
     if not near or near == room.data_centre:
--- a/boragestream/policy/queue_owners.py
+++ b/boragestream/policy/queue_owners.py
@@ -1,8 +1,8 @@
-"""Which entry owns the queue of a stage service, without asking anybody.
+"""Assigns the queue of each stage service to an entry, without communication.
 
-All live entries rank each other alike for a service, and the first owns its queue. What
-an owner does is left to ``serving.piece_batches``, what others do while it is silent to
-``serving.piece_orders``.
+All live entries compute the same ranking of entries for a service, and the first entry
+owns its queue. ``serving.piece_batches`` implements the owner, ``serving.piece_orders``
+how the other entries act while the owner does not answer.
 """
 
 from collections.abc import Sequence
@@ -13,23 +13,24 @@
 
 __all__ = ["able_entries", "owner_order"]
 
-# Among equal instances all can own; among unequal ones a queue on a small instance
-# holds up the stages of all entries.
-ABLE_SHARE = 0.5
+# The minimum capacity of an owner, relative to the largest entry. Entries on equal
+# instances are all eligible. A queue on a small instance delays all entries' stages.
+MIN_CAPACITY_SHARE = 0.5
 
 
 def able_entries(entries: Sequence[ListedEntry]) -> list[str]:
-    """Return the names of the entries that can own queues.
+    """Return the names of the entries that are eligible to own queues.
 
-    Instances differ: a queue on one with a slow link or a small part of a core holds up
-    the stages of all entries. Those with half of the largest capacity or more can own.
+    These are the entries with at least half of the largest capacity. A queue on an
+    instance with a slow link or a small share of a core delays the stages of all
+    entries.
     """
-    most = max((entry.capacity for entry in entries), default=0.0)
-    return [e.name for e in entries if e.capacity >= ABLE_SHARE * most]
+    largest = max((entry.capacity for entry in entries), default=0.0)
+    return [e.name for e in entries if e.capacity >= MIN_CAPACITY_SHARE * largest]
 
 
 def owner_order(service: str, entries: Sequence[str]) -> list[str]:
-    """Return the entries in their rank for a service; the first owns its queue."""
+    """Return the entries in ranked order for a service; the first owns its queue."""
 
     def rank(entry: str) -> int:
         return xxhash.xxh3_64_intdigest(f"{service}\0{entry}".encode())
--- a/boragestream/policy/retry_after.py
+++ b/boragestream/policy/retry_after.py
@@ -1,8 +1,8 @@
-"""When a caller whose request was not answered shall come back.
+"""Retry times for callers whose requests were not answered.
 
-The time is the backlog over the drain rate. Callers that were told earlier to come
-back are part of the backlog: without them all would be told the same time and return
-together. A random factor spreads those that were told the same.
+The time is the backlog divided by the drain rate. The backlog includes the callers that
+already have a retry time, since otherwise all callers would get the same time and
+retry together. A random factor spreads callers with the same time.
 """
 
 import random
@@ -15,17 +15,17 @@
 
 
 def spread(seconds: float, rng: random.Random) -> float:
-    """Return a time to come back near the given one, never below it by much."""
+    """Return a bounded and randomized retry time, in seconds."""
     bounded = min(MAX_SECONDS, max(MIN_SECONDS, seconds))
     return bounded * (1 + SPREAD * (2 * rng.random() - 1))
 
 
 class ReturnSchedule:
-    """The callers of one pipeline that were told to come back.
+    """The retry times given to the callers of one pipeline.
 
-    Not safe without its owner's lock.
+    The owner must hold a lock.
 
-    :param rng: spreads the times.
+    :param rng: randomizes the retry times.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -33,10 +33,10 @@
         self._booked_until = 0.0
 
     def retry_after(self, now: float, wait: float, drain_rate: float) -> float:
-        """Return the seconds after which one more caller shall come back.
+        """Return the seconds after which another caller should retry.
 
-        :param wait: seconds that the requests in hand still need.
-        :param drain_rate: requests that end in a second; 0 where it is not known.
+        :param wait: seconds until the requests in progress are expected to have ended.
+        :param drain_rate: the number of requests that end in a second; 0 if unknown.
         """
         earliest = now + wait
         booked = max(self._booked_until, earliest)
--- a/boragestream/policy/returning_callers.py
+++ b/boragestream/policy/returning_callers.py
@@ -1,15 +1,15 @@
-"""Recognizes callers that come back to the queue that refused them.
+"""Recognizes returning callers, which retry at a queue that refused them.
 
-Load pattern: in a burst each refused caller comes back once, so that a quarter of all
-orders are second tries. Their objective counts from the first one, and most can't be
-met any more. Planned as new ones they take the places of callers that can still be
-served in time, and have these refused in turn.
+Load pattern: in a burst each refused caller retries once, so that a quarter of all
+orders are second attempts. Their objective counts from the first attempt, and most
+can't meet it any more. Scheduled as new orders, they displace callers that could still
+be served in time, so that these are refused in turn.
 
-A second try names the same key and has the same deadline as the first; the request's
-id and the entry that it comes by are new. The owner of a queue sees all orders of its
-service, so that it knows both tries without a word between entries. A queue with a new
-owner takes those that come back for new ones, as it did without this. The mean of 30
-plays of days of six entries rose from 0.543 to 0.550, most where stages were short of
+A second attempt has the key and the deadline of the first, but a new request id, and
+may arrive through another entry. The owner of a queue sees all orders of its service,
+so that it recognizes a second attempt without communication between entries. A new
+owner does not know earlier attempts and treats returning callers as new. The mean of
+30 simulated days with six entries rose from 0.543 to 0.550, most where stages lacked
 servers.
 """
 
@@ -17,20 +17,20 @@
 
 __all__ = ["ReturningCallers"]
 
-# Tries of one caller agree in their deadline to within the time of a message or two.
+# The deadlines of a caller's attempts differ at most by the delay of a message or two.
 SAME_DEADLINE_SECONDS = 0.1
-# Callers come back within a third of the time that they have left.
-REMEMBERED_SECONDS = 10.0
-# About ten seconds of the orders that one queue can take; 0.2 KB each.
-MOST_REMEMBERED = 2048
+# Callers retry within a third of the time that they have left.
+KEEP_SECONDS = 10.0
+# The orders that one queue can take in about ten seconds; 0.2 KB each.
+MAX_CALLERS = 2048
 
 
 @dataclass(frozen=True, slots=True)
-class _Try:
-    """The latest try of a caller.
+class _Attempt:
+    """The latest attempt of a caller.
 
-    :ivar first_at: when its first try came, in the clock's seconds.
-    :ivar waited: seconds from there to this try.
+    :ivar first_at: the clock's seconds at which its first attempt arrived.
+    :ivar waited: seconds from the first attempt to this one.
     """
 
     request_id: str
@@ -40,35 +40,38 @@
 
 
 class ReturningCallers:
-    """The callers of one queue; not safe without its owner's lock."""
+    """The callers of one queue; the owner must hold a lock."""
 
     def __init__(self) -> None:
-        self._tries: dict[str, _Try] = {}
+        self._attempts: dict[str, _Attempt] = {}
 
     def waited(self, key: str, request_id: str, deadline: float, now: float) -> float:
-        """Return for how many seconds a caller has waited before this try.
+        """Return the seconds from a caller's first attempt to this one.
 
-        :param key: what all tries of a caller name; empty for none.
+        :param key: the key that all attempts of a caller share; empty for none.
         :param deadline: the clock's seconds at which it stops waiting.
         """
-        known = self._tries.get(key)
-        if known is not None and known.request_id == request_id:
-            return known.waited
+        previous = self._attempts.get(key)
+        if previous is not None and previous.request_id == request_id:
+            return previous.waited
         if not key:
             return 0.0
         first_at = now
-        if known is not None and abs(known.deadline - deadline) < SAME_DEADLINE_SECONDS:
-            first_at = known.first_at
-            deadline = known.deadline
-        self._remember(key, _Try(request_id, first_at, now - first_at, deadline), now)
+        if (
+            previous is not None
+            and abs(previous.deadline - deadline) < SAME_DEADLINE_SECONDS
+        ):
+            first_at = previous.first_at
+            deadline = previous.deadline
+        self._store(key, _Attempt(request_id, first_at, now - first_at, deadline), now)
         return now - first_at
 
-    def _remember(self, key: str, latest: _Try, now: float) -> None:
-        self._tries.pop(key, None)
-        self._tries[key] = latest
-        # The oldest stand first.
-        for old in list(self._tries):
-            recent = now - self._tries[old].first_at < REMEMBERED_SECONDS
-            if recent and len(self._tries) <= MOST_REMEMBERED:
+    def _store(self, key: str, latest: _Attempt, now: float) -> None:
+        self._attempts.pop(key, None)
+        self._attempts[key] = latest
+        # Keys are in the order of their latest attempts.
+        for oldest in list(self._attempts):
+            recent = now - self._attempts[oldest].first_at < KEEP_SECONDS
+            if recent and len(self._attempts) <= MAX_CALLERS:
                 break
-            del self._tries[old]
+            del self._attempts[oldest]
--- a/boragestream/policy/service_queue.py
+++ b/boragestream/policy/service_queue.py
@@ -16,9 +16,9 @@
     ServerRoom,
     choose_batch,
     expected_wait,
+    is_abandoned,
     is_admitted,
     is_bookable,
-    is_hopeless,
     place_of,
 )
 from boragestream.policy.returning_callers import ReturningCallers
@@ -202,7 +202,7 @@
         A caller that is refused now can retry in time, and does not wait for a late
         answer, which is worth a fraction.
         """
-        late = [queued for queued in self._orders.values() if is_hopeless(queued, now)]
+        late = [queued for queued in self._orders.values() if is_abandoned(queued, now)]
         for queued in late:
             del self._orders[queued.order.order_id]
         return late
--- a/tests/features/steps/piece_queue.py
+++ b/tests/features/steps/piece_queue.py
@@ -14,8 +14,8 @@
     ServerRoom,
     choose_batch,
     expected_wait,
+    is_abandoned,
     is_admitted,
-    is_hopeless,
 )
 from boragestream.policy.servers import Server
 from boragestream.policy.service_queue import ServiceQueue
@@ -93,7 +93,7 @@
 def step(context, start_by, made, earlier, verdict, now):
     waiting = queued(order("a", 2, invested=earlier == "earlier results"), start_by)
     del waiting.left[:made]
-    assert is_hopeless(waiting, now) is (verdict == "given up")
+    assert is_abandoned(waiting, now) is (verdict == "given up")
 
 
 @then(
--- a/tests/features/steps/returning_callers.py
+++ b/tests/features/steps/returning_callers.py
@@ -45,13 +45,13 @@
 
 @then("the queue remembers {count:d} of them")
 def step(context, count):
-    assert len(context.callers._tries) == count
+    assert len(context.callers._attempts) == count
 
 
 @then("none of them {later:g} s later")
 def step(context, later):
     context.callers.waited("new", "r-new", 118, 101 + later)
-    assert len(context.callers._tries) == 1
+    assert len(context.callers._attempts) == 1
 
 
 @when("refused callers come back, recognized and not")
