--- a/boragestream/policy/admission.py
+++ b/boragestream/policy/admission.py
@@ -177,10 +177,12 @@
         if self._in_hand >= self._limit and not self._evict_for(candidate, now):
             failure = QueueFull(self._in_hand)
             return Refused(failure, self._retry_after(pipeline, now))
-        over = candidate.uses("account-limits") and self._gate.enter(candidate.account)
-        if not over:
+        exceeded = candidate.uses("account-limits") and self._gate.enter(
+            candidate.account
+        )
+        if not exceeded:
             return None
-        return Refused(over[0], self._expected.retry_after_seconds(over[1]))
+        return Refused(exceeded[0], self._expected.retry_after_seconds(exceeded[1]))
 
     def _deadline_refusal(
         self, candidate: Candidate, now: float, wait: float = 0.0
@@ -234,7 +236,7 @@
             if waiting is None:
                 return
             candidate = waiting.candidate
-            if candidate.gone is not None and candidate.gone():
+            if candidate.caller_gone is not None and candidate.caller_gone():
                 self._reject(waiting, Refused(CallerGone()))
             elif candidate.uses("admission") and self._is_too_late(candidate, now):
                 self._reject(waiting, self._deadline_refusal(candidate, now))
@@ -294,7 +296,7 @@
             return 0.0
         competing_weights = self._queue.competing_weights(account, names)
         # The first request of an account is served at the account's next turn, however
-        # small its share. Further requests wait until its share has drained the others.
+        # small its share. Further requests wait until its share has drained those ahead.
         ahead = queued * (1 + sum(competing_weights) / weight) + len(competing_weights)
         return self._expected.wait(related, ahead, now)
 
--- a/boragestream/policy/admitted.py
+++ b/boragestream/policy/admitted.py
@@ -20,14 +20,14 @@
     """A request for which admission is requested.
 
     :ivar deadline: the clock's seconds by which it must be answered.
-    :ivar gone: returns whether its caller has closed the connection.
+    :ivar caller_gone: returns whether its caller has closed the connection.
     """
 
     account: ClientAccount
     pipeline: Pipeline
     deadline: float
     policies: Policies
-    gone: Callable[[], bool] | None = None
+    caller_gone: Callable[[], bool] | None = None
 
     def uses(self, mechanism: Mechanism) -> bool:
         """Return whether a mechanism is enabled for this request."""
--- a/boragestream/policy/fair_queue.py
+++ b/boragestream/policy/fair_queue.py
@@ -4,7 +4,7 @@
 time by the item's cost divided by the account's weight, and the account with the lowest
 virtual time is served next. An account that was idle joins at the queue's virtual time,
 so that it gains no credit while idle. Items of a pipeline that can't begin now are
-skipped and keep their positions. ``policy.admission`` bounds the queue's length.
+skipped and keep their order. ``policy.admission`` bounds the queue's length.
 """
 
 import heapq
--- a/boragestream/policy/piece_queue.py
+++ b/boragestream/policy/piece_queue.py
@@ -26,7 +26,7 @@
     "is_admitted",
     "is_bookable",
     "longest_wait",
-    "place_of",
+    "order_sort_key",
 ]
 
 # The maximum expected wait of an order, by priority, as a share of the time until its
@@ -104,7 +104,7 @@
     :ivar start_by: the clock's seconds by which it must start to meet the objective.
     :ivar expires: the clock's seconds at which its caller stops waiting.
     :ivar left: its pieces that are in no call.
-    :ivar came: the clock's seconds at which it arrived.
+    :ivar arrived_at: the clock's seconds at which it arrived.
     :ivar suspected: whether a server has crashed while it ran the request.
     """
 
@@ -112,12 +112,12 @@
     start_by: float
     expires: float
     left: list[Piece] = field(default_factory=list)
-    came: float = -math.inf
+    arrived_at: float = -math.inf
     suspected: bool = False
 
-    def place(self, now: float) -> tuple[bool, float]:
-        """Return its position in the queue; the smallest is first."""
-        return place_of(self.start_by, self.order.priority, now)
+    def sort_key(self, now: float) -> tuple[bool, float]:
+        """Return its sort key in the queue; the smallest is first."""
+        return order_sort_key(self.start_by, self.order.priority, now)
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,8 +137,8 @@
     region: str = ""
 
 
-def place_of(start_by: float, priority: int, now: float) -> tuple[bool, float]:
-    """Return the position in the queue; late orders are behind all others."""
+def order_sort_key(start_by: float, priority: int, now: float) -> tuple[bool, float]:
+    """Return the sort key of an order; late orders are behind all others."""
     return start_by < now, start_by + PRIORITY_SECONDS * priority
 
 
@@ -155,7 +155,7 @@
     chosen: list[tuple[QueuedOrder, list[Piece]]] = []
     places = limits.batch
     free = room.free_bytes
-    for queued in sorted(queue, key=lambda q: q.place(now)):
+    for queued in sorted(queue, key=lambda q: q.sort_key(now)):
         if places <= 0:
             break
         if _is_region_excluded(queued, room) or _waits_for_near_server(queued, room):
@@ -242,7 +242,7 @@
     grace_seconds = (
         INVESTED_LATE_GRACE_SECONDS if order.invested else LATE_GRACE_SECONDS
     )
-    return now > max(queued.start_by, queued.came) + grace_seconds
+    return now > max(queued.start_by, queued.arrived_at) + grace_seconds
 
 
 def _share_for_priority(shares: tuple[float, ...], priority: int) -> float:
--- a/boragestream/policy/service_queue.py
+++ b/boragestream/policy/service_queue.py
@@ -19,7 +19,7 @@
     is_abandoned,
     is_admitted,
     is_bookable,
-    place_of,
+    order_sort_key,
 )
 from boragestream.policy.returning_callers import ReturningCallers
 from boragestream.policy.servers import Server
@@ -106,8 +106,8 @@
     held: dict[str, tuple[float, float]] = field(default_factory=dict)
 
     def used_bytes(self, now: float) -> float:
-        gone = [handle for handle, (_, until) in self.held.items() if now >= until]
-        for handle in gone:
+        expired = [handle for handle, (_, until) in self.held.items() if now >= until]
+        for handle in expired:
             del self.held[handle]
         return self.pending_bytes + sum(size for size, _ in self.held.values())
 
@@ -146,12 +146,12 @@
             return None
         self._bookings.pop(order.order_id, None)
         first = order.pieces[0]
-        queued.came = now
+        queued.arrived_at = now
         queued.start_by -= self._callers.waited(
             first.key, first.request_id, queued.expires, now
         )
         eligible = _in_regions(usable, order.regions)
-        wait = self._wait(queued.place(now), limits, eligible, now)
+        wait = self._wait(queued.sort_key(now), limits, eligible, now)
         if not is_admitted(queued.order, wait, queued.start_by - now):
             return wait
         self._orders[order.order_id] = queued
@@ -174,9 +174,9 @@
         if booking.order_id in self._bookings or booking.order_id in self._orders:
             return None
         start_by -= self._callers.waited(booking.key, booking.request_id, expires, now)
-        place = place_of(start_by, booking.priority, now)
+        sort_key = order_sort_key(start_by, booking.priority, now)
         eligible = _in_regions(usable, booking.regions)
-        wait = self._wait(place, limits, eligible, now)
+        wait = self._wait(sort_key, limits, eligible, now)
         if not is_bookable(booking, wait, start_by - now):
             return wait
         until = max(start_by, now) + BOOKING_GRACE_SECONDS
@@ -228,9 +228,9 @@
         """Return a batch for each free server, and record it as in progress."""
         free_at: dict[str, float] = {}
         for server in usable:
-            known = free_at.get(server.data_centre, math.inf)
+            earliest = free_at.get(server.data_centre, math.inf)
             free = max(now, self._state(server).free_at)
-            free_at[server.data_centre] = min(known, free)
+            free_at[server.data_centre] = min(earliest, free)
         batches = []
         for server in usable:
             batch = self._next_batch(server, limits, free_at, now)
@@ -264,8 +264,8 @@
             elif result.fault is PieceFault.NO_ROOM:
                 # Results that are not recorded here, such as those of an earlier
                 # owner, occupy the server's memory.
-                unknown = f"{piece.request_id}/{piece.stage}/{piece.number}"
-                state.held[unknown] = (size, now + NO_ROOM_HOLD_SECONDS)
+                label = f"{piece.request_id}/{piece.stage}/{piece.number}"
+                state.held[label] = (size, now + NO_ROOM_HOLD_SECONDS)
                 state.paused_until = now + REFUSED_PAUSE_SECONDS
 
     def put_back(self, order_id: str, piece: Piece) -> bool:
@@ -310,21 +310,21 @@
 
     def _wait(
         self,
-        place: tuple[bool, float],
+        sort_key: tuple[bool, float],
         limits: PieceLimits,
         usable: Sequence[Server],
         now: float,
     ) -> float:
-        """Return the expected wait in seconds of an order at a queue position."""
+        """Return the expected wait in seconds of an order with a sort key."""
         ahead = sum(
             len(queued.left)
             for queued in self._orders.values()
-            if queued.place(now) <= place
+            if queued.sort_key(now) <= sort_key
         )
         ahead += sum(
             booked.count
             for booked in self._bookings.values()
-            if place_of(booked.start_by, booked.priority, now) <= place
+            if order_sort_key(booked.start_by, booked.priority, now) <= sort_key
         )
         whole_call = limits.call_seconds + limits.batch * limits.piece_seconds
         free, servers = 0, 0.0
--- a/boragestream/policy/waiting.py
+++ b/boragestream/policy/waiting.py
@@ -157,8 +157,8 @@
         backlog = len(self._waiters) + 1
         seconds = backlog / rate if rate else UNKNOWN_RETRY_SECONDS
         bounded = min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, seconds))
-        spread = bounded * self._rng.uniform(1.0, 1.5)
-        return ServiceSaturated(self._service, len(self._waiters), spread)
+        randomized = bounded * self._rng.uniform(1.0, 1.5)
+        return ServiceSaturated(self._service, len(self._waiters), randomized)
 
     def _wake_first(self) -> None:
         if self._waiters:
--- a/tests/features/returning_callers.feature
+++ b/tests/features/returning_callers.feature
@@ -18,7 +18,7 @@
     Then the queue remembers 2048 of them
     And none of them 11 s later
 
-  # The load of a burst: each refused caller comes back once.
+  # A burst in which each refused caller retries once.
   Scenario Outline: in a burst more callers are served in time where those that return are known
     Given a stage of <servers> servers that is asked for <load> times what they can do
     When refused callers come back, recognized and not
--- a/tests/features/steps/admission.py
+++ b/tests/features/steps/admission.py
@@ -1,4 +1,4 @@
-"""Steps that stand at the admission of an entry, with a clock of their own."""
+"""Steps on the admission control of an entry, with a simulated clock."""
 
 import itertools
 import random
@@ -22,7 +22,7 @@
 
 
 def set_up(context, limit):
-    """Make an admission and what its steps share."""
+    """Create the admission control and the state that the steps share."""
     document, _ = check_document(example_document("cooperative"))
     context.document = document
     context.clock = SetClock()
@@ -31,11 +31,11 @@
     context.gone = threading.Event()
     context.stage_seconds = 0.1
     context.verdicts = []
-    context.add_cleanup(let_go, context)
+    context.add_cleanup(end_all, context)
 
 
-def let_go(context):
-    """End every request, so that no thread keeps waiting."""
+def end_all(context):
+    """End every request, so that no thread stays blocked."""
     context.gone.set()
     for future in context.verdicts:
         if future.done() and isinstance(future.result(), Admitted):
@@ -44,7 +44,7 @@
 
 
 def candidate(context, account, left):
-    """Return a request for captions."""
+    """Return a candidate for the caption pipeline."""
     accounts = {a.name: a for a in context.document.client_accounts}
     pipelines = {p.name: p for p in context.document.pipelines}
     deadline = context.clock.now() + left
@@ -54,7 +54,7 @@
 
 
 def answer(context, admitted):
-    """Take an admitted request through its stages."""
+    """Run the stages of an admitted request and end it."""
     for stage in admitted.candidate.pipeline.stages:
         admitted.begin_stage(stage.name)
         context.clock.seconds += context.stage_seconds
@@ -62,23 +62,23 @@
     context.admission.leave(admitted)
 
 
-def came(context):
-    """Return what is decided so far: begun, refused."""
+def verdicts_so_far(context):
+    """Return the admissions and the refusals so far."""
     done = [f.result() for f in context.verdicts if f.done()]
     begun = [v for v in done if isinstance(v, Admitted)]
     return begun, [v for v in done if isinstance(v, Refused)]
 
 
-def decided(context):
-    """Return how many requests have a verdict."""
+def decided_count(context):
+    """Return the number of requests with a verdict."""
     return sum(future.done() for future in context.verdicts)
 
 
-def settled(context):
-    """Wait until every request has begun, waits or was refused."""
+def wait_until_settled(context):
+    """Wait until every request is admitted, queued or refused."""
     count = len(context.verdicts)
     wait_until(
-        lambda: decided(context) + context.admission.queued == count,
+        lambda: decided_count(context) + context.admission.queued == count,
         what="every request to be queued or decided",
     )
 
@@ -92,7 +92,7 @@
 @given("an admission with {limit:d} threads")
 def step(context, limit):
     set_up(context, limit)
-    # One request begins and holds its place; the window stays at one.
+    # The window stays at its minimum, so that requests queue behind the first ones.
     context.admission._windows._window("writer", 0.0)._limit = MIN_LIMIT
 
 
@@ -114,17 +114,17 @@
 
 @when('a request of "{account}" with {left:g} seconds left comes')
 def step(context, account, left):
-    asked = candidate(context, account, left)
-    context.verdicts.append(context.pool.submit(context.admission.enter, asked))
-    settled(context)
+    request = candidate(context, account, left)
+    context.verdicts.append(context.pool.submit(context.admission.enter, request))
+    wait_until_settled(context)
 
 
 @when('{count:d} requests of "{account}" with {left:g} seconds left come at once')
 def step(context, count, account, left):
     for _ in range(count):
-        asked = candidate(context, account, left)
-        context.verdicts.append(context.pool.submit(context.admission.enter, asked))
-    settled(context)
+        request = candidate(context, account, left)
+        context.verdicts.append(context.pool.submit(context.admission.enter, request))
+    wait_until_settled(context)
 
 
 @when("{seconds:d} seconds pass and one request ends")
@@ -140,11 +140,11 @@
 
 
 def end_one(context):
-    """End one request that has begun; keep how many had."""
-    begun, _ = came(context)
+    """End one admitted request; store the number of admitted ones."""
+    begun, _ = verdicts_so_far(context)
     context.begun = len(begun)
     context.admission.leave(begun[0])
-    settled(context)
+    wait_until_settled(context)
 
 
 @then("it begins")
@@ -162,41 +162,41 @@
 
 @then('some begin, some wait and the others are refused with "{code}"')
 def step(context, code):
-    begun, refused = came(context)
+    begun, refused = verdicts_so_far(context)
     assert begun and refused and context.admission.queued, (len(begun), len(refused))
     assert {r.failure.code for r in refused} == {code}
 
 
 @then("the times to return are spread over more than {seconds:d} second")
 def step(context, seconds):
-    times = [r.retry_after for r in came(context)[1]]
+    times = [r.retry_after for r in verdicts_so_far(context)[1]]
     assert max(times) - min(times) > seconds, times
 
 
 @then("no request waits and none of them has begun")
 def step(context):
     wait_until(lambda: all(f.done() for f in context.verdicts), what="every verdict")
-    assert len(came(context)[0]) == context.begun
+    assert len(verdicts_so_far(context)[0]) == context.begun
     assert context.admission.queued == 0
 
 
 @then('one of "{account}" is refused with "{code}"')
 def step(context, account, code):
-    wait_until(lambda: came(context)[1], what="a refusal")
-    refused = came(context)[1]
+    wait_until(lambda: verdicts_so_far(context)[1], what="a refusal")
+    refused = verdicts_so_far(context)[1]
     assert [r.failure.code for r in refused] == [code], refused
     assert context.admission.queued == 3
 
 
 @then("a window grows while it is used and stages are quick")
 def step(context):
-    window = drive(ServiceWindow(0.0), lambda limit: 1.0)
+    window = run_rounds(ServiceWindow(0.0), lambda limit: 1.0)
     assert window.limit > START_LIMIT
 
 
 @then("a window is cut while stages are slow, but never closed")
 def step(context):
-    window = drive(ServiceWindow(0.0), lambda limit: 10.0)
+    window = run_rounds(ServiceWindow(0.0), lambda limit: 10.0)
     assert window.limit == MIN_LIMIT
     assert window.open
 
@@ -204,13 +204,13 @@
 @then("a window is not cut where a third of the stages are slow")
 def step(context):
     multiples = itertools.cycle((1.0, 1.0, 30.0))
-    window = drive(ServiceWindow(0.0), lambda limit: next(multiples))
+    window = run_rounds(ServiceWindow(0.0), lambda limit: next(multiples))
     assert window.limit >= START_LIMIT
 
 
 @then("a window is cut when a stage finds no room, once for what began before")
 def step(context):
-    window = drive(ServiceWindow(0.0), lambda limit: 1.0)
+    window = run_rounds(ServiceWindow(0.0), lambda limit: 1.0)
     before = window.limit
     for _ in range(before):
         window.take()
@@ -223,12 +223,12 @@
 @then("a window whose cuts change nothing corrects the baseline")
 def step(context):
     corrections = []
-    drive(ServiceWindow(0.0), lambda limit: 10.0, corrections)
+    run_rounds(ServiceWindow(0.0), lambda limit: 10.0, corrections)
     assert corrections
 
 
-def drive(window, multiple, corrections=None, rounds=20):
-    """Use a window fully for some rounds of one second each."""
+def run_rounds(window, multiple, corrections=None, rounds=20):
+    """Use a window fully for a number of rounds of one second each."""
     for round_ in range(1, rounds):
         count = window.limit
         for _ in range(count):
--- a/tests/features/steps/admission_reopens.py
+++ b/tests/features/steps/admission_reopens.py
@@ -1,17 +1,17 @@
-"""Steps that make a load come and go at the admission of an entry."""
+"""Steps that start and end a load at the admission control of an entry."""
 
 from behave import given
 
 from boragestream.policy.admitted import Candidate
 
-PLENTY_SECONDS = 30.0
+DISTANT_DEADLINE_SECONDS = 30.0
 
 
-def begin(context):
-    """Begin a request that has plenty of time."""
+def admit(context):
+    """Admit a request with a distant deadline."""
     document = context.document
     pipeline = next(p for p in document.pipelines if p.name == "caption")
-    deadline = context.clock.now() + PLENTY_SECONDS
+    deadline = context.clock.now() + DISTANT_DEADLINE_SECONDS
     account = document.client_accounts[0]
     return context.admission.enter(
         Candidate(account, pipeline, deadline, document.policies, lambda: False)
@@ -21,7 +21,7 @@
 @given("{count:d} more were answered while each stage took {seconds:g} seconds")
 def step(context, count, seconds):
     for _ in range(count):
-        admitted = begin(context)
+        admitted = admit(context)
         for stage in admitted.candidate.pipeline.stages:
             admitted.begin_stage(stage.name)
             context.clock.seconds += seconds
@@ -31,5 +31,5 @@
 
 @given("one is under way")
 def step(context):
-    admitted = begin(context)
+    admitted = admit(context)
     context.add_cleanup(context.admission.leave, admitted)
--- a/tests/features/steps/deadlines.py
+++ b/tests/features/steps/deadlines.py
@@ -1,4 +1,4 @@
-"""Steps on deadline budgets and times to return."""
+"""Steps on deadline budgets and retry times."""
 
 import random
 
@@ -37,10 +37,10 @@
     started = StageTimes()
     for stage in context.pipeline.stages:
         started.add(context.pipeline.name, stage.name, seconds, context.now)
-    sender, taker = BaselinePart(context.times), BaselinePart(started)
+    sender, receiver = BaselinePart(context.times), BaselinePart(started)
     for _ in context.pipeline.stages:
-        taker.take("entry-1", sender.offer(BUDGET))
-    taker.take("entry-1", b"\xc1")
+        receiver.take("entry-1", sender.offer(BUDGET))
+    receiver.take("entry-1", b"\xc1")
     context.times = started
 
 
@@ -71,7 +71,7 @@
     schedule = ReturnSchedule(random.Random(1))
     times = sorted(schedule.retry_after(5.0, 0.0, float(r)) for _ in range(n))
     assert 0.9 * s <= times[-1] <= 1.3 * s, times
-    # No tenth of the callers returns within much less than a tenth of the time.
+    # No group of a tenth of the callers returns in much less than a tenth of the time.
     tenth = n // 10
     gaps = [b - a for a, b in zip(times, times[2 * tenth :], strict=False)]
     assert min(gaps) > s / 20, gaps
--- a/tests/features/steps/fair_queue.py
+++ b/tests/features/steps/fair_queue.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from behave import given, then, when
-from hypothesis import given as drawn
+from hypothesis import given as given_data
 from hypothesis import settings
 from hypothesis import strategies as st
 
@@ -33,7 +33,7 @@
 
 
 def take(queue, can_begin=lambda _: True):
-    """Take an item; every item costs the same."""
+    """Pop an item; all items have the same cost."""
     return queue.pop(can_begin, lambda _: 1.0)
 
 
@@ -59,14 +59,14 @@
     weights = st.lists(st.floats(0.1, 20), min_size=1, max_size=6)
 
     @settings(derandomize=True, deadline=None, max_examples=60)
-    @drawn(weights, st.integers(1, 200))
+    @given_data(weights, st.integers(1, 200))
     def check(weights, count):
         queue = FairQueue()
         for index, weight in enumerate(weights):
             for number in range(count):
                 queue.push(str(index), weight, PIPELINE, number, str(index))
         served = Counter(take(queue) for _ in range(count))
-        # Two backlogged accounts never differ by more than one item each.
+        # Two backlogged accounts differ by at most one item of each.
         for a, weight_a in enumerate(weights):
             for b, weight_b in enumerate(weights):
                 lag = served[str(a)] / weight_a - served[str(b)] / weight_b
--- a/tests/features/steps/piece_queue.py
+++ b/tests/features/steps/piece_queue.py
@@ -1,4 +1,4 @@
-"""Steps on the queue of pieces, without a process."""
+"""Steps on the queue of a stage service, without a process."""
 
 import math
 from dataclasses import replace
@@ -25,7 +25,7 @@
 
 
 def order(name, count=1, priority=0, invested=False, near=""):
-    """Return an order of some pieces."""
+    """Return an order with a number of pieces."""
     pieces = tuple(Piece(name, 0, n, f"key-{name}", ()) for n in range(count))
     return PieceOrder(name, "service", pieces, RESULT_BYTES, priority, invested, near)
 
@@ -113,7 +113,7 @@
 
 
 def batches(context, now):
-    """Return what the server is given."""
+    """Return the next batches for the server."""
     queue = context.service_queue
     return queue.next_batches(context.limits, [context.server], now)
 
--- a/tests/features/steps/policy_waiting.py
+++ b/tests/features/steps/policy_waiting.py
@@ -1,4 +1,4 @@
-"""Steps that wait in line, on a clock that stands still until a step moves it."""
+"""Steps on calls in a queue, with a clock that only the steps advance."""
 
 import random
 import threading
@@ -18,7 +18,7 @@
 @given("a line before a service without room")
 def step(context):
     context.clock = SetClock()
-    context.line = CallQueue("pool", context.clock, random.Random(3))
+    context.queue = CallQueue("pool", context.clock, random.Random(3))
     context.room = threading.Semaphore(0)
     context.gone = False
     context.served = []
@@ -28,13 +28,13 @@
 
 
 def end(context):
-    """Let every waiting call go."""
+    """Cancel every waiting call."""
     context.gone = True
     context.executor.shutdown()
 
 
 def take(context, spare, cancelled):
-    """Wait in line with some milliseconds to spare."""
+    """Wait in the queue with a slack in milliseconds."""
 
     def choose():
         if not context.room.acquire(blocking=False):
@@ -43,30 +43,30 @@
         return SERVER
 
     latest = context.clock.now() + spare / 1000
-    return context.line.take(choose, latest, cancelled)
+    return context.queue.take(choose, latest, cancelled)
 
 
 @given("{rate:d} calls of the service end in each second")
 def step(context, rate):
     for _ in range(rate * 2):
         context.clock.seconds += 1 / rate
-        context.line.note_end()
+        context.queue.note_end()
 
 
 @when("calls with {spares} ms to spare wait")
 def step(context, spares):
     for spare in map(int, spares.split(", ")):
-        before = context.line.waiting
+        before = context.queue.waiting
         call = context.executor.submit(take, context, spare, lambda: context.gone)
         context.waiting.append(call)
-        wait_until(lambda before=before: context.line.waiting > before, WAIT_SECONDS)
+        wait_until(lambda before=before: context.queue.waiting > before, WAIT_SECONDS)
 
 
 @when("room comes for one call at a time")
 def step(context):
     for count in range(1, len(context.waiting) + 1):
         context.room.release()
-        context.line.note_end()
+        context.queue.note_end()
         wait_until(lambda count=count: len(context.served) == count, WAIT_SECONDS)
 
 
@@ -89,10 +89,10 @@
 
 @then("a call with {spare:d} ms to spare is told to return after {low:g} to {high:g} s")
 def step(context, spare, low, high):
-    # It joins the line, and its time passes while the clock of the line moves on.
-    given_up = take(context, spare, lambda: True)
-    assert isinstance(given_up, ServiceSaturated), given_up
-    assert low <= given_up.retry_after <= high, given_up
+    # The call is queued and then cancelled, so that it fails with a retry time.
+    failure = take(context, spare, lambda: True)
+    assert isinstance(failure, ServiceSaturated), failure
+    assert low <= failure.retry_after <= high, failure
 
 
 @when("their callers go")
@@ -103,5 +103,5 @@
 @then("nobody waits")
 def step(context):
     wait(context.waiting, timeout=WAIT_SECONDS)
-    assert context.line.waiting == 0
+    assert context.queue.waiting == 0
     assert all(isinstance(f.result(), ServiceSaturated) for f in context.waiting)
--- a/tests/features/steps/returning_callers.py
+++ b/tests/features/steps/returning_callers.py
@@ -1,4 +1,4 @@
-"""Steps on callers that come back after a refusal."""
+"""Steps on callers that retry after a refusal."""
 
 from behave import given, then, when
 
@@ -6,8 +6,8 @@
 from tests.features.steps.urgency import (
     LIMITS,
     PIECES,
-    PLAYED_SECONDS,
     SEEDS,
+    SIMULATED_SECONDS,
     SLACK_SECONDS,
 )
 from tests.standins.stage_load import Kind, play
@@ -30,7 +30,7 @@
 def step(context, request, deadline, now, waited, key=""):
     found = context.callers.waited(key, f"request-{request}", deadline, now)
     assert abs(found - waited) < 1e-9, found
-    # A further order of the same try has waited as long.
+    # A further order of the same attempt has the same wait.
     again = context.callers.waited(key, f"request-{request}", deadline, now + 0.3)
     assert abs(again - waited) < 1e-9, again
 
@@ -61,7 +61,13 @@
     def in_time(recognized):
         played = [
             play(
-                [kind], LIMITS, context.servers, PLAYED_SECONDS, seed, True, recognized
+                [kind],
+                LIMITS,
+                context.servers,
+                SIMULATED_SECONDS,
+                seed,
+                True,
+                recognized,
             )
             for seed in SEEDS
         ]
--- a/tests/features/steps/route_planning.py
+++ b/tests/features/steps/route_planning.py
@@ -1,4 +1,4 @@
-"""Steps on what an entry reckons with when it plans a request, without a process."""
+"""Steps on the estimates by which an entry schedules requests, without a process."""
 
 import random
 from types import SimpleNamespace
@@ -77,10 +77,10 @@
 
 
 class ChangingStore:
-    """A store that answers each call after so many seconds, mostly with a change."""
+    """A store that answers each call after a given delay, mostly with a change."""
 
     def __init__(self, clock, seconds):
-        """Take how long each answer takes."""
+        """Set the delay of each answer; below 0 for one without a change."""
         self.clock = clock
         self.left = list(seconds)
 
@@ -90,7 +90,7 @@
         return Snapshot(1, {})
 
     def watch(self, prefix, revision, seconds):
-        """Answer a call that waits."""
+        """Answer a long poll."""
         answer = self.left.pop(0)
         self.clock.seconds += abs(answer)
         if answer < 0:
@@ -98,19 +98,19 @@
         return Changes(revision + 1, (Change("servers/a", revision + 1, b"x"),))
 
 
-class Stopping:
-    """Notes how long is waited, and ends with the store's answers."""
+class RecordingStopEvent:
+    """A stop event that records waits, and is set after the store's last answer."""
 
     def __init__(self, store):
-        """Begin with no wait."""
+        """Start without recorded waits."""
         self.store, self.waits = store, []
 
     def is_set(self):
-        """Tell whether the store has nothing left to answer."""
+        """Return whether the store has no answers left."""
         return not self.store.left
 
     def wait(self, seconds):
-        """Note a wait."""
+        """Record a wait."""
         self.waits.append(seconds)
 
 
@@ -124,11 +124,11 @@
     """Follow the store with a gap; return the waits."""
     clock = SetClock()
     store = ChangingStore(clock, context.answers)
-    stopping = Stopping(store)
+    stopping = RecordingStopEvent(store)
     following = StoreFollowing(
         clock, random.Random(1), {"servers/": True}, 1.0, lambda: True, lambda: 1
     )
-    # Long after the start, when this entry knows that it is the one to watch.
+    # Long after the start, when this entry knows that it is a watcher.
     clock.seconds += 60
     Publication(
         store=store,
--- a/tests/features/steps/slot_shares.py
+++ b/tests/features/steps/slot_shares.py
@@ -1,4 +1,4 @@
-"""Steps on windows that open by reported slots, with a clock of their own."""
+"""Steps on windows sized by reported slots, with a simulated clock."""
 
 import random
 from concurrent.futures import ThreadPoolExecutor
@@ -48,44 +48,44 @@
 
 @given("a door that {count:d} long requests come to, at once")
 def step(context, count):
-    context.door = Admission(
+    context.admission = Admission(
         256, context.clock, random.Random(1), share=context.shares.share
     )
     context.loads.when_first_reported(partial(look_again, context))
     context.pool = ThreadPoolExecutor(count)
-    context.add_cleanup(let_go, context)
+    context.add_cleanup(end_all, context)
     candidate = context.candidate(deadline=context.clock.now() + DEADLINE_SECONDS)
     context.verdicts = [
-        context.pool.submit(context.door.enter, candidate) for _ in range(count)
+        context.pool.submit(context.admission.enter, candidate) for _ in range(count)
     ]
-    wait_until(lambda: context.door.in_hand == count, what="all requests")
+    wait_until(lambda: context.admission.in_hand == count, what="all requests")
 
 
 def look_again(context, service):
-    """Do as the daemon does at a server's first report."""
+    """Handle a server's first report as the daemon does."""
     if context.shares.note_reported(service):
-        context.door.look_again()
+        context.admission.look_again()
 
 
-def let_go(context):
-    """End every request that has begun, so that no thread waits any more."""
+def end_all(context):
+    """End every admitted request, so that no thread stays blocked."""
     while not all(verdict.done() for verdict in context.verdicts):
-        end_begun(context)
+        end_one(context)
     context.pool.shutdown()
 
 
-def end_begun(context):
-    """End the requests that have begun."""
+def end_one(context):
+    """End one admitted request."""
     for verdict in context.verdicts:
         if verdict.done() and not isinstance(verdict.result(), Refused):
-            context.door.leave(verdict.result())
+            context.admission.leave(verdict.result())
             context.verdicts.remove(verdict)
             return
 
 
 @given("no request has completed")
 def step(context):
-    assert context.door.queued
+    assert context.admission.queued
 
 
 @when("one server reports its slots")
@@ -97,7 +97,7 @@
 
 @when("no server reports its slots")
 def step(context):
-    context.door.look_again()
+    context.admission.look_again()
 
 
 @then("{count:d} requests have begun")
@@ -107,7 +107,7 @@
         return len([v for v in done if not isinstance(v, Refused)])
 
     wait_until(lambda: begun() == count, what=f"{count} requests")
-    assert context.door.queued == len(context.verdicts) - count
+    assert context.admission.queued == len(context.verdicts) - count
 
 
 @when("{count:d} entries are live a second later")
--- a/tests/features/steps/urgency.py
+++ b/tests/features/steps/urgency.py
@@ -1,4 +1,4 @@
-"""Steps on who goes first, between accounts and between kinds of request."""
+"""Steps on the urgency of requests, by account and by route."""
 
 from behave import given, then, when
 
@@ -9,7 +9,7 @@
 LIMITS = PieceLimits(1, 12, 0.2, 0.01, 100.0, 4.0)
 PIECES = 4
 SLACK_SECONDS = 0.9
-PLAYED_SECONDS = 40.0
+SIMULATED_SECONDS = 40.0
 SEEDS = range(5)
 
 
@@ -22,8 +22,8 @@
 
 @given('accounts of the priorities "{priorities}"')
 def step(context, priorities):
-    known = [] if priorities == "none" else [int(p) for p in priorities.split()]
-    accounts = [RouteAccount(f"a-{n}", frozenset(), p) for n, p in enumerate(known)]
+    parsed = [] if priorities == "none" else [int(p) for p in priorities.split()]
+    accounts = [RouteAccount(f"a-{n}", frozenset(), p) for n, p in enumerate(parsed)]
     context.least = least_priority(accounts)
 
 
@@ -56,7 +56,7 @@
         Kind("other", urgency(2, 1, least), PIECES, half, SLACK_SECONDS),
     ]
     played = [
-        play(kinds, LIMITS, context.servers, PLAYED_SECONDS, seed) for seed in SEEDS
+        play(kinds, LIMITS, context.servers, SIMULATED_SECONDS, seed) for seed in SEEDS
     ]
     context.in_time = {
         kind.name: sum(p[kind.name][0] for p in played) / len(played) for kind in kinds
--- a/tests/features/urgency.feature
+++ b/tests/features/urgency.feature
@@ -15,8 +15,8 @@
     Given accounts of the priorities "3 3"
     Then a request "3/0" is as urgent as "-/0"
 
-  # The load of a burst: two kinds need the same stage for more than its servers can do.
-  # The longer chain has little time to spare there, the short chat has as much as it.
+  # A burst in which two kinds of requests exceed the capacity of the same stage. The
+  # longer chain has little slack there, and the short chat has the same slack.
   Scenario Outline: in a burst the urgent kind of request is served before the other
     Given a stage of <servers> servers that is asked for <load> times what they can do
     When half of the requests are of a kind two levels less urgent
