--- a/boragestream/policy/admission.py
+++ b/boragestream/policy/admission.py
@@ -296,7 +296,7 @@
             return 0.0
         competing_weights = self._queue.competing_weights(account, names)
         # The first request of an account is served at the account's next turn, however
-        # small its share. Further requests wait until its share has drained those ahead.
+        # small its share. Further ones wait until its share has drained those ahead.
         ahead = queued * (1 + sum(competing_weights) / weight) + len(competing_weights)
         return self._expected.wait(related, ahead, now)
 
--- a/boragestream/policy/demand.py
+++ b/boragestream/policy/demand.py
@@ -1,8 +1,9 @@
 """The load and the accounts' demand that the entries report to one another.
 
-A report is valid for the duration of a lease. Each report is sent with its age, since
-the clocks of two instances are not compared. A listed entry without a report is
-expected to report within a lease, so that its share stays reserved while it starts.
+A report belongs to the entry that made it and is valid for the duration of a lease.
+Each report is sent with its age, since the clocks of two instances are not compared. A
+listed entry without a report is expected to report within a lease, so that its share
+stays reserved while it starts.
 ``entry.demand`` transmits the reports.
 """
 
@@ -19,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountDemand:
-    """The demand of a client account at one entry, and the share it holds there.
+    """The demand of a client account at one entry, and the share held for it there.
 
     :ivar rate: requests per second that arrive, refused ones included.
     :ivar slots: concurrent requests that would be in progress, refused ones included.
