--- a/boragestream/policy/stage_times.py
+++ b/boragestream/policy/stage_times.py
@@ -5,8 +5,8 @@
 the lowest mean of a group of consecutive durations. Streamed answers have a separate
 baseline, since a stream lasts until its last token. Compared with the baseline of
 answers that are sent at once, streams of 80 ms looked like a 50-fold delay by queueing,
-so that the window closed. On an idle server a stream then waited 53 ms at p50 and 782
-at p95, against 1.8 and 2.3 ms with separate baselines (``bench.overhead``).
+so that the window closed. On an idle server a stream then waited 53 ms at p50 and
+782 ms at p95, against 1.8 and 2.3 ms with separate baselines (``bench.overhead``).
 ``policy.deadlines`` derives the needs of requests from the durations,
 ``policy.service_window`` the load of the servers.
 """
