--- a/tests/features/steps/piece_queue.py
+++ b/tests/features/steps/piece_queue.py
@@ -1,4 +1,4 @@
-"""Steps that check the queue of pieces; no process is started."""
+"""Steps on the queue of a stage service, without a process."""
 
 import math
 from dataclasses import replace
@@ -14,8 +14,8 @@
     ServerRoom,
     choose_batch,
     expected_wait,
+    is_abandoned,
     is_admitted,
-    is_hopeless,
 )
 from boragestream.policy.servers import Server
 from boragestream.policy.service_queue import ServiceQueue
@@ -25,13 +25,13 @@
 
 
 def order(name, count=1, priority=0, invested=False, near=""):
-    """Return an order of ``count`` pieces."""
+    """Return an order with a number of pieces."""
     pieces = tuple(Piece(name, 0, n, f"key-{name}", ()) for n in range(count))
     return PieceOrder(name, "service", pieces, RESULT_BYTES, priority, invested, near)
 
 
 def queued(made, start_by):
-    """Return an order as it is stored in the queue."""
+    """Return an order in the queue."""
     return QueuedOrder(made, start_by, start_by + 10, list(made.pieces))
 
 
@@ -93,7 +93,7 @@
 def step(context, start_by, made, earlier, verdict, now):
     waiting = queued(order("a", 2, invested=earlier == "earlier results"), start_by)
     del waiting.left[:made]
-    assert is_hopeless(waiting, now) is (verdict == "given up")
+    assert is_abandoned(waiting, now) is (verdict == "given up")
 
 
 @then(
@@ -113,7 +113,7 @@
 
 
 def batches(context, now):
-    """Return the batches that the server is sent next."""
+    """Return the next batches for the server."""
     queue = context.service_queue
     return queue.next_batches(context.limits, [context.server], now)
 
@@ -170,7 +170,7 @@
 
 
 def book(context, priority=0, more=0.0):
-    """Book the next chain; return the expected wait in seconds if it is refused."""
+    """Book the next chain; return the wait with which it is refused."""
     context.chains += 1
     booking = PieceBooking(
         f"chain-{context.chains}",
