--- a/boragestream/policy/granters.py
+++ b/boragestream/policy/granters.py
@@ -1,12 +1,12 @@
-"""Which entries grant the permits to call a server, without asking anybody.
+"""Determines which entries grant the permits to call a server, without coordination.
 
-All live entries rank each other alike for a server. The ranks are kept until other
-entries are live: there are hundreds of entries and thousands of servers, and a choice
-among limited servers looks at each of them.
+All live entries compute the same ranking of entries for a server. The rankings are
+cached until the set of live entries changes, because there are hundreds of entries and
+thousands of servers, and a choice among limited servers looks at each of them.
 
-Entries can disagree for a moment on who is the first, after one has come or gone, and
-for as long as some can't reach one another. Whether that may be so now is what an
-entry's standing says.
+Entries can disagree on the first entry for a short time after an entry has started or
+stopped, and for as long as some of them can't reach one another. An entry's standing
+states whether such a disagreement is possible now.
 """
 
 import threading
@@ -19,15 +19,15 @@
 
 __all__ = ["Granters", "Standing"]
 
-# The first in rank and the one that stands in for it.
-GRANTING = 2
-LOOK_AGAIN_SECONDS = 0.5
-# All others know by then that an entry has come or gone.
+# The first in rank and its substitute.
+GRANTERS_PER_SERVER = 2
+REFRESH_SECONDS = 0.5
+# Within this time all entries learn that an entry has started or stopped.
 SETTLED_SECONDS = 3.0
 
 
 class Standing(Enum):
-    """What an entry that grants permits is among the others."""
+    """The position of a granting entry in the ranking, and how certain it is."""
 
     FIRST = "the first for all that can be known"
     NEW = "the first since a moment ago, or one that stands in for it"
@@ -35,11 +35,12 @@
 
 
 class Granters:
-    """The granting entries by server; any thread may ask.
+    """The granting entries by server; safe to use from any thread.
 
-    :param live: returns the names of the live entries, the own one included.
-    :param subject: returns by what the entries are ranked for a server.
-    :param divided: tells whether entries are silent, or know others than this one.
+    :param live: returns the names of the live entries, including this one.
+    :param subject: returns the key by which the entries are ranked for a server.
+    :param divided: returns whether some entries do not answer, or have a different set
+        of live entries than this one.
     """
 
     def __init__(
@@ -53,57 +54,57 @@
         self._divided = divided
         self._subject = subject
         self._clock = clock
-        self._known: Sequence[str] = ()
-        self._looked_at = float("-inf")
+        self._entries: Sequence[str] = ()
+        self._refreshed_at = float("-inf")
         self._changed_at = clock.now()
         self._ranked: dict[str, Sequence[str]] = {}
-        # The first one of each subject, and since when.
+        # The first entry for each subject, and the time since which it has been first.
         self._first: dict[str, tuple[str, float]] = {}
         self._lock = threading.Lock()
 
     @property
     def count(self) -> int:
-        """How many entries are live."""
+        """The number of live entries."""
         self.look_again()
-        return len(self._known)
+        return len(self._entries)
 
     def look_again(self) -> None:
-        """Notice that entries have come or gone, also while nobody asks."""
+        """Refresh the live entries; call it regularly, also without any look-up."""
         with self._lock:
-            self._look_again()
+            self._refresh()
 
     def of(self, server: Server) -> Sequence[str]:
-        """Return the entries that grant, in their order."""
+        """Return the entries that grant permits for a server, the first one first."""
         subject = self._subject(server)
         with self._lock:
-            self._look_again()
+            self._refresh()
             ranked = self._ranked.get(subject)
             if ranked is None:
-                ranked = owner_order(subject, self._known)[:GRANTING]
+                ranked = owner_order(subject, self._entries)[:GRANTERS_PER_SERVER]
                 self._ranked[subject] = ranked
             return ranked
 
     def standing(self, server: Server, entry: str) -> Standing:
-        """Return what an entry is among those that grant for a server."""
+        """Return the standing of an entry among the granting entries of a server."""
         ranked = self.of(server)
         if ranked[:1] != [entry]:
             return Standing.NEW
         subject = self._subject(server)
         with self._lock:
-            known = (entry, self._changed_at)
-            _, since = self._first.setdefault(subject, known)
+            default = (entry, self._changed_at)
+            _, since = self._first.setdefault(subject, default)
         if self._clock.now() - since < SETTLED_SECONDS:
             return Standing.NEW
         return Standing.DIVIDED if self._divided() else Standing.FIRST
 
-    def _look_again(self) -> None:
+    def _refresh(self) -> None:
         now = self._clock.now()
-        if now - self._looked_at < LOOK_AGAIN_SECONDS:
+        if now - self._refreshed_at < REFRESH_SECONDS:
             return
-        self._looked_at = now
+        self._refreshed_at = now
         live = sorted(self._live())
-        if live != self._known:
-            self._known = live
+        if live != self._entries:
+            self._entries = live
             self._changed_at = now
             self._ranked.clear()
             for subject, (before, _) in self._first.items():
--- a/boragestream/policy/limit_records.py
+++ b/boragestream/policy/limit_records.py
@@ -1,7 +1,8 @@
-"""What entries know of one server's request limit, and how a server names it.
+"""Records of one server's request limit, and parsing of the limit that it states.
 
-Each change of a limit raises the revision of its record; of two records of one revision
-the lower limit prevails. What follows from a limit is left to ``policy.server_limits``.
+Each change of a limit raises the revision of its record; of two records with the same
+revision, the one with the lower limit prevails. Enforcement of the limits is left to
+``policy.server_limits``.
 """
 
 import math
@@ -24,21 +25,21 @@
     "server_key",
 ]
 
-# No single server serves as much; a higher figure limits nothing.
-MOST_PER_SECOND = 100_000.0
+# No single server serves more requests a second; a higher limit counts as none.
+MAX_PER_SECOND = 100_000.0
 SERVER_KEY_BYTES = 8
 HUNDREDTHS = 100
-# More than the servers that are listed at a time.
-MOST_KEYS = 16_384
+# Exceeds the number of servers that are listed at a time.
+MAX_CACHED_KEYS = 16_384
 
 
 def parse_limit(texts: Sequence[str]) -> float | LimitMalformed | None:
-    """Decode the limits that an answer names.
+    """Parse the limits that an answer states.
 
-    :param texts: one for each time that it names one.
-    :returns: requests a second, the lowest of several; None where there is no limit.
+    :param texts: the value of each limit header of the answer.
+    :returns: requests a second, the lowest of several; None if there is no limit.
     """
-    named = []
+    limits = []
     for text in texts:
         try:
             limit = float(text)
@@ -46,28 +47,29 @@
             return LimitMalformed()
         if math.isnan(limit) or limit < 0:
             return LimitMalformed()
-        named.append(limit)
-    lowest = min(named, default=math.inf)
-    return lowest if lowest <= MOST_PER_SECOND else None
+        limits.append(limit)
+    lowest = min(limits, default=math.inf)
+    return lowest if lowest <= MAX_PER_SECOND else None
 
 
-@lru_cache(MOST_KEYS)
+@lru_cache(MAX_CACHED_KEYS)
 def _identity_key(identity: tuple[str, str, str]) -> bytes:
     return xxhash.xxh3_64_digest("\0".join(identity).encode())
 
 
 def server_key(server: Server) -> bytes:
-    """Return the short form of one life of a server, the same at every entry."""
+    """Return the key of one incarnation of a server, the same at every entry."""
     return _identity_key(server.identity)
 
 
 @dataclass(frozen=True, slots=True)
 class LimitRecord:
-    """What is known of one server's limit.
+    """The known limit of one server.
 
-    :ivar server: the short form of one life of the server.
+    :ivar server: the key of one incarnation of the server.
     :ivar revision: rises with each change.
-    :ivar hundredths: of a request a second; None where the limit has ended.
+    :ivar hundredths: the limit in hundredths of a request a second; None if it has
+        ended.
     """
 
     server: bytes
@@ -76,21 +78,21 @@
 
     @property
     def per_second(self) -> float | None:
-        """The limit in requests a second; None where it has ended."""
+        """The limit in requests a second; None if it has ended."""
         return None if self.hundredths is None else self.hundredths / HUNDREDTHS
 
     @property
     def rank(self) -> tuple[int, float]:
-        """The record with the greater rank prevails."""
+        """The sort key: of two records, the one with the greater rank prevails."""
         limit = math.inf if self.hundredths is None else self.hundredths
         return (self.revision, -limit)
 
 
 @dataclass(frozen=True, slots=True)
 class LimitChange:
-    """A change of what is known of a server's limit.
+    """A change of a server's known limit.
 
-    :ivar server: the server's name; empty where it is not listed here.
+    :ivar server: the server's name; empty if this entry does not have it listed.
     :ivar before: requests a second; None for no limit.
     :ivar after: requests a second; None for no limit.
     """
@@ -101,5 +103,5 @@
 
 
 def prevailing(known: LimitRecord, other: LimitRecord) -> LimitRecord:
-    """Return the one of two records of a server that prevails."""
+    """Return the prevailing one of two records of a server."""
     return other if other.rank > known.rank else known
--- a/boragestream/policy/permit_schedule.py
+++ b/boragestream/policy/permit_schedule.py
@@ -1,13 +1,14 @@
-"""The permits to call one server, granted by one entry at a steady rate.
+"""Schedules the permits to call one server, granted by one entry at a steady rate.
 
-Any span of time holds no more permits than a burst and the rate times its length, and
-none accrue beyond the burst, however long nobody asked. A permit can lie ahead: the
-entry that asked waits for it. One that was not used is given back.
+Any interval holds at most as many permits as the burst plus the rate times its length.
+Permits do not accumulate beyond the burst, however long none was requested. A permit
+can begin in the future; the requesting entry then waits for it. An unused permit is
+returned to the schedule.
 
-Load pattern: far more requests than a server takes, in bursts, from many entries.
+Load pattern: bursts of far more requests than a server can take, from many entries.
 
-Left out: at which rate (``policy.server_limits``), and how entries ask for permits
-(``entry.server_permits``). Not safe without its owner's lock.
+The rate is left to ``policy.server_limits``, the requests for permits to
+``entry.server_permits``. Not thread-safe: the caller holds a lock.
 """
 
 import math
@@ -18,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """How fast permits are granted.
+    """The rate and the burst at which permits are granted.
 
-    :ivar per_second: in the long run.
-    :ivar burst: how many may begin at once; 1 at the least.
+    :ivar per_second: the average number of permits a second.
+    :ivar burst: how many permits may begin at once; at least 1.
     """
 
     per_second: float
@@ -30,41 +31,42 @@
 
 @dataclass(slots=True)
 class PermitSchedule:
-    """The permits of one server.
+    """The permits of one server, as a generic cell rate algorithm.
 
-    :ivar pace: how fast they are granted now.
-    :ivar _paid_until: when the permits granted so far are made up for by the rate, in
-        the clock's seconds.
-    :ivar _since: when permits were last granted after none was owed.
+    :ivar pace: the current rate and burst.
+    :ivar _arrival_time: the theoretical arrival time, in the clock's seconds: when the
+        rate has covered all permits granted so far.
+    :ivar _busy_since: when the schedule last went from idle to busy.
     """
 
     pace: Pace
-    _paid_until: float = -math.inf
-    _since: float = -math.inf
+    _arrival_time: float = -math.inf
+    _busy_since: float = -math.inf
 
     def next_free(self, now: float) -> float:
         """Return when the next permit could begin, in the clock's seconds."""
-        ahead = (self.pace.burst - 1) / self.pace.per_second
-        return max(now, self._paid_until - ahead)
+        tolerance = (self.pace.burst - 1) / self.pace.per_second
+        return max(now, self._arrival_time - tolerance)
 
     def reserve(self, now: float, latest: float) -> float | None:
-        """Take the next permit; None where it would begin later than asked for.
+        """Reserve the next permit, unless it would begin after ``latest``.
 
-        :returns: when it begins, in the clock's seconds.
+        :returns: when it begins, in the clock's seconds; None if that is too late.
         """
         moment = self.next_free(now)
         if moment > latest:
             return None
-        if self._paid_until <= moment:
-            self._since = moment
-        begun = max(self._paid_until, moment)
-        self._paid_until = begun + 1 / self.pace.per_second
+        if self._arrival_time <= moment:
+            self._busy_since = moment
+        start = max(self._arrival_time, moment)
+        self._arrival_time = start + 1 / self.pace.per_second
         return moment
 
     def give_back(self, moment: float) -> None:
-        """Take back a permit that was not used.
+        """Return an unused permit to the schedule.
 
-        One from before the schedule was last empty is made up for already.
+        A permit from before the last idle time has no effect: the rate has already
+        covered it.
         """
-        if moment >= self._since:
-            self._paid_until -= 1 / self.pace.per_second
+        if moment >= self._busy_since:
+            self._arrival_time -= 1 / self.pace.per_second
--- a/boragestream/policy/server_backoffs.py
+++ b/boragestream/policy/server_backoffs.py
@@ -1,11 +1,11 @@
-"""Servers that turned a call away and told this entry when to come back.
+"""Servers that rejected a call and stated when this entry may retry.
 
-Load pattern: a server is full for a moment and tells each caller to stay away for some
-seconds; each call in that time is turned away too, and delays the work that it has. The
-word binds the entry that was told alone: it says when the server wants to hear from
-this one again, others are told for themselves.
+Load pattern: a server is full for a short time and answers each call with a number of
+seconds to wait. It rejects each call in that time too, and the rejections delay its
+other work. The back-off applies only to the entry that received it, because the server
+states a separate one to each entry.
 
-Left out: when a server may be called again for other reasons (``policy.circuits``).
+Ejection of servers after failures is left to ``policy.circuits``.
 """
 
 import math
@@ -17,12 +17,12 @@
 
 __all__ = ["ServerBackoffs", "parse_backoff"]
 
-# A server that asks for more is most likely wrong, and must not be lost for good.
-LONGEST_SECONDS = 3600.0
+# A longer back-off is most likely an error, and must not exclude a server for good.
+MAX_BACKOFF_SECONDS = 3600.0
 
 
 def parse_backoff(text: str | None) -> float | None:
-    """Return the seconds after which to come back; None where no time is told."""
+    """Parse a back-off in seconds; return None if there is no valid one."""
     try:
         seconds = float(text or "")
     except ValueError:
@@ -31,25 +31,28 @@
 
 
 class ServerBackoffs:
-    """Until when servers want no calls of this entry."""
+    """The servers that this entry must not call yet, each with the end of its back-off.
+
+    Safe to use from any thread.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        # By the server's identity: one that starts again has asked for nothing.
+        # By the server's identity, since a back-off does not apply after a restart.
         self._until: dict[tuple[str, str, str], float] = {}
         self._lock = threading.Lock()
 
     def note(self, server: Server, seconds: float) -> None:
-        """Take that a server wants no calls for some seconds; the latest end holds."""
+        """Record a server's back-off; of several, the one that ends last applies."""
         now = self._clock.now()
-        until = now + min(seconds, LONGEST_SECONDS)
+        until = now + min(seconds, MAX_BACKOFF_SECONDS)
         with self._lock:
             self._until = {key: at for key, at in self._until.items() if at > now}
             known = self._until.get(server.identity, now)
             self._until[server.identity] = max(known, until)
 
     def takes_calls(self, server: Server) -> bool:
-        """Tell whether a server may be called now."""
+        """Return whether a server may be called now."""
         return self._until.get(server.identity, -math.inf) <= self._clock.now()
 
     def usable(self, servers: Sequence[Server]) -> Sequence[Server]:
@@ -59,7 +62,10 @@
         return [server for server in servers if self.takes_calls(server)]
 
     def seconds_left(self, servers: Sequence[Server]) -> float | None:
-        """Return when the first server may be called; None where one may now."""
+        """Return the seconds until the first back-off ends.
+
+        :returns: None if a server may be called now, or if there are no servers.
+        """
         if not servers or self.usable(servers):
             return None
         earliest = min(self._until.get(s.identity, 0.0) for s in servers)
--- a/boragestream/policy/server_limits.py
+++ b/boragestream/policy/server_limits.py
@@ -1,31 +1,31 @@
-"""The requests a second that servers in need take from all entries together.
-
-A server names its limit in its answers, and it holds for as long as they name it. It
-bounds the sum over all entries, which none of them can see: of 195 entries that send
-one request each, a server with a limit of one a second gets twenty times too many. So
-each limited server has one entry that grants permits for it, the first by rank among
-the live ones, and nobody calls the server without one.
-
-The arithmetic, for a promise of ``FACTOR`` times the limit and ``SLACK`` more in any
-``WINDOW_SECONDS``: an entry that grants ``rate`` permits a second, each valid for
-``PERMIT_SECONDS``, lets ``burst + (WINDOW_SECONDS + PERMIT_SECONDS) * rate`` requests
-through. Usually one entry grants, at the limit itself, with a small burst so that
-requests that come together need not wait. What that leaves of the promise is for an
-entry that has just become the first in rank, or stands in for it. While entries are
-silent, each half of them can have a first one that grants for long; then both grant so
-that two of them together stay within the promise: the limit itself up to 1.2 requests a
-second, and never less than 0.7 of it.
-
-An answer without a limit ends it, if its call was sent after the one that named it;
-so does the end of the server's life. Where a limited server gets no requests, one is
-sent there now and then all the same, to notice the end.
-
-Entries pass records on. Each change of a limit raises the revision of its record; of
-two records of one revision the lower limit prevails. A wrong one is corrected by the
-next answer.
-
-Left out: who grants, and how entries ask (``entry.server_permits``); which server is
-chosen (``serving.limited_servers``).
+"""Request rate limits of overloaded servers, enforced over all entries together.
+
+An overloaded server states a limit in its answers, and the limit applies as long as the
+answers state it. It bounds the sum over all entries, which no single entry can see: if
+195 entries send one request each, a server with a limit of one request a second gets
+twenty times too many. Therefore each limited server has one granting entry, the live
+entry that ranks first for it, and no entry calls the server without a permit.
+
+A server must get at most ``FACTOR`` times its limit plus ``SLACK`` requests in any
+``WINDOW_SECONDS``. An entry that grants ``rate`` permits a second, each valid for
+``PERMIT_SECONDS``, admits ``burst + (WINDOW_SECONDS + PERMIT_SECONDS) * rate``
+requests. Usually one entry grants permits, at the limit itself, with a small burst so
+that simultaneous requests need not wait. The remainder of the bound is reserved for an
+entry that has just become the first in rank, or that replaces the first one
+temporarily. During a network partition each half of the entries can have its own first
+entry for a long time. Both then grant at a rate that keeps the two together within the
+bound: the limit itself up to 1.2 requests a second, and never less than 0.7 of it.
+
+An answer without a limit ends the limit if its call was sent after the call whose
+answer stated it. The end of the server's incarnation ends it too. A limited server that
+gets no requests is still sent one from time to time, to detect the end of its limit.
+
+Entries exchange their records. Each change of a limit raises the revision of its
+record; of two records with the same revision, the one with the lower limit prevails.
+The next answer corrects a wrong record.
+
+Which entry grants permits and how entries request them is left to
+``entry.server_permits``; the choice of a server is left to ``serving.limited_servers``.
 """
 
 import math
@@ -51,45 +51,45 @@
 FACTOR = 1.5
 SLACK = 5.0
 VIEWS = 2
-# More that begin at once would meet a server in need as one.
-MOST_BURST = 3.0
-# Between the grant of a permit and the first byte of its request.
+# A larger burst would reach an overloaded server as one simultaneous load.
+MAX_BURST = 3.0
+# The longest time from the start of a permit to the first byte of its request.
 PERMIT_SECONDS = 0.25
-# A server that takes nothing is still asked so often whether its limit has ended.
-LEAST_RATE = 0.25
-# How long nobody may ask for a server's permits before a request is sent there all the
-# same.
+# Permits are granted at least at this rate, also for a server with a limit of 0, to
+# detect that its limit has ended.
+MIN_RATE = 0.25
+# A server is sent a request if no permit for it was granted for this long.
 UNASKED_SECONDS = 4.0
-# Limits that differ by less are one limit.
-SAME_SHARE = 0.05
-# A list that omits a server by mistake costs nothing within this time.
+# Limits whose relative difference is at most this count as equal.
+LIMIT_TOLERANCE = 0.05
+# A server keeps its limit if a list omits it by mistake for less than this time.
 FORGET_SECONDS = 120.0
 
 
 def granting_pace(limit: float, standing: Standing = Standing.FIRST) -> Pace:
-    """Return how fast an entry grants permits for a server.
+    """Return the rate and burst at which an entry grants permits for a server.
 
-    :param limit: the requests a second that the server takes.
-    :param standing: of the entry among those that can grant.
+    :param limit: the server's limit in requests a second.
+    :param standing: the entry's standing among the granting entries.
     """
-    promised = FACTOR * WINDOW_SECONDS * limit + SLACK
+    bound = FACTOR * WINDOW_SECONDS * limit + SLACK
     seconds = WINDOW_SECONDS + PERMIT_SECONDS
     if standing is Standing.DIVIDED:
-        rate = (promised / VIEWS - 1) / seconds
-        return Pace(max(LEAST_RATE, min(limit, rate)), 1.0)
-    first = max(LEAST_RATE, limit)
-    left = promised - seconds * first
-    burst = min(MOST_BURST, max(1.0, left / VIEWS))
+        rate = (bound / VIEWS - 1) / seconds
+        return Pace(max(MIN_RATE, min(limit, rate)), 1.0)
+    first_rate = max(MIN_RATE, limit)
+    remainder = bound - seconds * first_rate
+    burst = min(MAX_BURST, max(1.0, remainder / VIEWS))
     if standing is Standing.FIRST:
-        return Pace(first, burst)
-    rate = (left - burst - 1) / seconds
-    return Pace(max(LEAST_RATE, min(limit, rate)), 1.0)
+        return Pace(first_rate, burst)
+    rate = (remainder - burst - 1) / seconds
+    return Pace(max(MIN_RATE, min(limit, rate)), 1.0)
 
 
 class ServerLimits:
-    """The limits that one entry knows, and the permits that it grants.
+    """The server limits that one entry knows, and the permits that it grants.
 
-    :param changed: called after each change that other entries should know at once.
+    :param changed: called after each change that must be sent to other entries at once.
     """
 
     def __init__(
@@ -98,12 +98,13 @@
         self._clock = clock
         self._changed = changed
         self._table = GossipTable[LimitRecord](lambda r: r.server.hex(), prevailing)
-        # What is limited now, in requests a second; the same of servers known here, by
-        # their identity, since each choice looks at all servers of a service.
+        # Current limits in requests a second by server key. The second dictionary holds
+        # those of listed servers by identity, which is faster to look up: each choice
+        # checks all servers of a service.
         self._limits: dict[bytes, float] = {}
         self._by_identity: dict[tuple[str, str, str], float] = {}
-        # When an answer showed the record, at whichever entry.
-        self._read_at: dict[bytes, float] = {}
+        # When an answer, to this entry or another, last confirmed the record.
+        self._confirmed_at: dict[bytes, float] = {}
         self._granted_at: dict[bytes, float] = {}
         self._free_at: dict[bytes, float] = {}
         self._schedules: dict[bytes, PermitSchedule] = {}
@@ -113,20 +114,20 @@
 
     @property
     def table(self) -> GossipTable[LimitRecord]:
-        """The records, to be exchanged."""
+        """The records that entries exchange."""
         return self._table
 
     @property
     def count(self) -> int:
-        """How many servers are limited now."""
+        """The number of servers that have a limit now."""
         return len(self._limits)
 
     def limit(self, server: Server) -> float | None:
-        """Return a server's limit in requests a second; None where it has none."""
+        """Return a server's limit in requests a second; None if it has none."""
         return self._by_identity.get(server.identity) if self._limits else None
 
     def rate(self, server: Server) -> float:
-        """Return the calls a second that a server can be sent; infinite for any."""
+        """Return the most calls a second to a server; infinite without a limit."""
         limit = self.limit(server)
         if limit is None:
             return math.inf
@@ -137,22 +138,22 @@
     def split(
         self, servers: Sequence[Server]
     ) -> tuple[Sequence[Server], Sequence[Server]]:
-        """Return the servers without a limit, and those with one."""
+        """Return the servers without a limit and the servers with one."""
         if not self._limits:
             return servers, ()
-        known = self._by_identity
-        free = [server for server in servers if server.identity not in known]
-        if len(free) == len(servers):
+        limits = self._by_identity
+        unlimited = [server for server in servers if server.identity not in limits]
+        if len(unlimited) == len(servers):
             return servers, ()
-        return free, [server for server in servers if server.identity in known]
+        return unlimited, [server for server in servers if server.identity in limits]
 
     def is_unasked(self, server: Server) -> bool:
-        """Tell whether no permit for a server was granted here for a while."""
-        at = self._granted_at.get(server_key(server), -math.inf)
-        return self._clock.now() - at >= UNASKED_SECONDS
+        """Return whether this entry granted no permit in ``UNASKED_SECONDS``."""
+        granted_at = self._granted_at.get(server_key(server), -math.inf)
+        return self._clock.now() - granted_at >= UNASKED_SECONDS
 
     def seconds_left(self, server: Server) -> float:
-        """Return the seconds until a permit is to be had, as far as known here."""
+        """Return the seconds until a permit is free, as far as this entry knows."""
         key, now = server_key(server), self._clock.now()
         free_at = self._free_at.get(key, now)
         with self._lock:
@@ -162,17 +163,17 @@
         return max(0.0, free_at - now)
 
     def note_busy(self, server: Server, seconds: float) -> None:
-        """Take that no permit is to be had for some seconds."""
+        """Record that no permit for a server is free for some seconds."""
         self._free_at[server_key(server)] = self._clock.now() + seconds
 
     def note_answer(
         self, server: Server, limit: float | None, sent_at: float, whole: bool
     ) -> LimitChange | None:
-        """Take the limit that an answer names; None where it is known.
+        """Record the limit stated by an answer; return None if nothing changes.
 
         :param limit: requests a second; None for no limit.
-        :param sent_at: the clock's seconds at which its call was sent.
-        :param whole: whether it is one that names the limit if there is one.
+        :param sent_at: when the call was sent, in the clock's seconds.
+        :param whole: whether the answer would state the limit if the server had one.
         """
         if limit is None and self.limit(server) is None:
             return None
@@ -183,10 +184,10 @@
                 self._index()
             known = self._table.get(key.hex())
             before = known.per_second if known is not None else None
-            if _same(before, limit):
+            if _is_same_limit(before, limit):
                 return None
-            # An answer that was under way is older than what ended or changed a limit.
-            stale = sent_at < self._read_at.get(key, -math.inf)
+            # A call sent before the record was last confirmed can't end the limit.
+            stale = sent_at < self._confirmed_at.get(key, -math.inf)
             if limit is None and (stale or not whole):
                 return None
             revision = known.revision + 1 if known is not None else 1
@@ -194,16 +195,16 @@
             return self.take(LimitRecord(key, revision, hundredths))
 
     def take(self, record: LimitRecord, age_seconds: float = 0.0) -> LimitChange | None:
-        """Merge a record; None where it changes nothing.
+        """Merge a record; return None if it changes nothing.
 
-        :param age_seconds: how long ago an answer showed it.
+        :param age_seconds: the time since an answer confirmed the record.
         """
         key = record.server
         with self._lock:
             known = self._table.get(key.hex())
             if not self._table.take(record):
                 return None
-            self._read_at[key] = self._clock.now() - age_seconds
+            self._confirmed_at[key] = self._clock.now() - age_seconds
             limit = record.per_second
             if limit is None:
                 self._limits.pop(key, None)
@@ -218,24 +219,24 @@
         return LimitChange(name, before, record.per_second)
 
     def age(self, record: LimitRecord) -> float:
-        """Return how many seconds ago an answer showed a record."""
+        """Return the seconds since an answer confirmed a record."""
         now = self._clock.now()
-        return max(0.0, now - self._read_at.get(record.server, now))
+        return max(0.0, now - self._confirmed_at.get(record.server, now))
 
     def known(self, server: Server) -> LimitRecord | None:
-        """Return the record of a server; None where it never named a limit."""
+        """Return the record of a server; None if it never stated a limit."""
         return self._table.get(server_key(server).hex())
 
     def reserve(
         self, key: bytes, wait_seconds: float, standing: Standing = Standing.FIRST
     ) -> tuple[float | None, float]:
-        """Grant a permit for a server, as the one entry that does.
+        """Grant a permit for a server; only its granting entry calls this.
 
-        :param key: the server's short form.
-        :param wait_seconds: the longest wait for its beginning.
-        :param standing: of this entry among those that can grant.
-        :returns: when it begins, in the clock's seconds, None where it was refused; and
-            the seconds until it begins, or until the next one would.
+        :param key: the server's key.
+        :param wait_seconds: the longest wait until the permit begins.
+        :param standing: this entry's standing among the granting entries.
+        :returns: when the permit begins, in the clock's seconds, or None if it was
+            refused; and the seconds until it begins, or until the next permit could.
         """
         now = self._clock.now()
         with self._lock:
@@ -248,20 +249,20 @@
             moment = schedule.reserve(now, now + wait_seconds)
             if moment is not None:
                 self._granted_at[key] = now
-            begins = schedule.next_free(now) if moment is None else moment
-            return moment, begins - now
+            begins_at = schedule.next_free(now) if moment is None else moment
+            return moment, begins_at - now
 
     def give_back(self, key: bytes, moment: float) -> None:
-        """Take a permit back that was not used."""
+        """Return an unused permit to the schedule."""
         with self._lock:
             schedule = self._schedules.get(key)
             if schedule is not None:
                 schedule.give_back(moment)
 
     def take_list(self, servers: Iterable[Server]) -> None:
-        """Take which servers are listed, before they are put to use.
+        """Record the listed servers, before they are used.
 
-        Limits of servers that are gone are forgotten.
+        Limits of servers that were not listed for ``FORGET_SECONDS`` are deleted.
         """
         now = self._clock.now()
         with self._lock:
@@ -281,18 +282,18 @@
 
     def _forget(self, key: bytes) -> None:
         self._table.drop([key.hex()])
-        for kept in (
+        for by_key in (
             self._limits,
-            self._read_at,
+            self._confirmed_at,
             self._granted_at,
             self._free_at,
             self._schedules,
             self._listed_at,
         ):
-            kept.pop(key, None)
+            by_key.pop(key, None)
 
 
-def _same(before: float | None, after: float | None) -> bool:
+def _is_same_limit(before: float | None, after: float | None) -> bool:
     if before is None or after is None:
         return before is after
-    return abs(before - after) <= max(SAME_SHARE * before, 1 / HUNDREDTHS)
+    return abs(before - after) <= max(LIMIT_TOLERANCE * before, 1 / HUNDREDTHS)
--- a/boragestream/policy/server_lives.py
+++ b/boragestream/policy/server_lives.py
@@ -1,13 +1,15 @@
-"""Which of two lives of a backend server under one name is listed in earnest.
+"""Resolves which of two incarnations of a backend server is the current one.
 
-A server that starts again keeps its name; the moment of its start tells its lives
-apart. A state of the earlier life can be published after the later one has begun, for
-example a write that the platform carried out late. It is not taken for a while: the
-server would lose its calls, its measured times and its connections, and be called as if
-it still held the results of before. Where it stays published the server's clock was set
-back between the two starts, and it is taken.
+A restarted server keeps its name; its start time distinguishes its incarnations. The
+state of the earlier incarnation can be published after the later one has started, for
+example by a write that the platform applied late. Such a state is ignored at first: if
+it were accepted, the entry would drop the server's calls, measured times and
+connections, and would call it as if it still held its earlier results. If the state
+stays published, the server's clock was set back between the two starts, and the state
+is accepted.
 
-Left out: the platform publishes in one order, so that lists never overtake each other.
+Instance lists that arrive out of order are not handled, because the platform publishes
+them in order.
 """
 
 import threading
@@ -18,15 +20,15 @@
 
 __all__ = ["ServerLives"]
 
-# Writes carried out late arrive up to six seconds after they were sent, and a running
-# server publishes itself again about a second later.
-EARLIER_LIFE_SECONDS = 8.0
+# Late writes arrive up to six seconds after they were sent, and a running server
+# publishes its state again about a second later.
+EARLIER_INCARNATION_SECONDS = 8.0
 
 
 class ServerLives:
-    """The latest life of each listed server.
+    """The latest incarnation of each listed server.
 
-    :param clock: times for how long an earlier life has been published.
+    :param clock: measures how long an earlier incarnation has been published.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -37,26 +39,26 @@
 
     @property
     def settling(self) -> bool:
-        """Whether an earlier life is published now and not taken yet."""
+        """Whether an earlier incarnation is published now and still ignored."""
         return bool(self._earlier_since)
 
     def take_list(self, listed: Iterable[Server]) -> tuple[Server, ...]:
-        """Return the list with the latest life of each server."""
+        """Return the list with the latest incarnation of each server."""
         now = self._clock.now()
         with self._lock:
-            taken = [self._life(server, now) for server in listed]
-            self._latest = {server.name: server for server in taken}
+            current = [self._resolve(server, now) for server in listed]
+            self._latest = {server.name: server for server in current}
             for name in self._earlier_since.keys() - self._latest.keys():
                 del self._earlier_since[name]
-        return tuple(taken)
+        return tuple(current)
 
-    def _life(self, server: Server, now: float) -> Server:
+    def _resolve(self, server: Server, now: float) -> Server:
         known = self._latest.get(server.name)
         if known is None or server.started_ms >= known.started_ms:
             self._earlier_since.pop(server.name, None)
             return server
         since = self._earlier_since.setdefault(server.name, now)
-        if now - since < EARLIER_LIFE_SECONDS:
+        if now - since < EARLIER_INCARNATION_SECONDS:
             return known
         del self._earlier_since[server.name]
         return server
--- a/boragestream/policy/servers.py
+++ b/boragestream/policy/servers.py
@@ -1,9 +1,9 @@
-"""The backend servers that an entry knows, and which may take new work.
+"""The backend servers that an entry knows, and which of them may take new work.
 
-Sources are the instance list and the servers' own words. Leaving is sticky within
-one incarnation: a list that still says "live" does not undo it. A drained data centre
-is passed over until the order is taken back. Choosing among the servers is left to
-``policy.routing`` and ``policy.server_choice``.
+The data comes from the instance list and from the servers' own answers. The leaving
+state is permanent within one incarnation: a list that still has the server as live does
+not undo it. Servers in a drained data centre get no work until the drain is lifted.
+Choosing among the servers is left to ``policy.routing`` and ``policy.server_choice``.
 """
 
 import threading
@@ -13,12 +13,12 @@
 
 __all__ = ["Server", "ServerState", "ServerTable"]
 
-# More than the replacements of a week in a large fleet.
+# Exceeds the number of servers replaced in a week in a large fleet.
 MAX_REMEMBERED_LEAVING = 8192
 
 
 class ServerState(Enum):
-    """What an entry believes of a server."""
+    """The state of a server as known to an entry."""
 
     LIVE = "live"
     SUSPECT = "suspect"
@@ -31,11 +31,11 @@
     """One backend server in one incarnation.
 
     :ivar host: ``address:port``.
-    :ivar incarnation: tells two lives under one name apart.
-    :ivar region: empty where it is not known.
-    :ivar started_ms: when this life began, in Unix milliseconds by the server's own
-        clock; 0 where it is not known.
-    :ivar cold_seconds: for how much longer it was cold when it was listed.
+    :ivar incarnation: distinguishes the runs of a server under one name.
+    :ivar region: empty if it is not known.
+    :ivar started_ms: when this incarnation started, in Unix milliseconds by the
+        server's own clock; 0 if it is not known.
+    :ivar cold_seconds: for how much longer the server was cold when it was listed.
     """
 
     name: str
@@ -50,16 +50,17 @@
 
     @property
     def identity(self) -> tuple[str, str, str]:
-        """What changes when an instance is replaced."""
+        """The key of this incarnation; it changes when an instance is replaced."""
         return (self.name, self.host, self.incarnation)
 
 
 class ServerTable:
-    """The servers by service; readers take a snapshot without a lock.
+    """The servers by service; readers use a snapshot without a lock.
 
-    :param left: called with each server that said to this entry that it is leaving.
-    :param awaits_orders: whether no server is used until it is known which data centres
-        are drained: an entry that starts learns of the servers in whatever order.
+    :param left: called with each server that stated in an answer to this entry that it
+        is leaving.
+    :param awaits_orders: whether no server is used until the drained data centres are
+        known. A starting entry may receive the instance list before or after them.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         self._awaits_orders = awaits_orders
         self._unused: Callable[[str], None] = lambda host: None
         self._by_service: dict[str, tuple[Server, ...]] = {}
-        # A dictionary for its order: the oldest is forgotten first.
+        # A dictionary for its insertion order: the oldest is removed first.
         self._leaving: dict[tuple[str, str, str], None] = {}
         self._listed: tuple[Server, ...] = ()
         self._identities: set[tuple[str, str, str]] = set()
@@ -81,12 +82,12 @@
 
     @property
     def drained(self) -> frozenset[str]:
-        """The data centres whose servers get no work."""
+        """The drained data centres, whose servers get no work."""
         return self._drained
 
     @property
     def all(self) -> tuple[Server, ...]:
-        """Every listed server, whatever its state."""
+        """Every listed server in any state."""
         return self._listed
 
     def live(self, service: str) -> tuple[Server, ...]:
@@ -94,11 +95,11 @@
         return self._by_service.get(service, ())
 
     def takes_work(self, server: Server) -> bool:
-        """Tell whether a server that was chosen a while ago may still take new work."""
+        """Return whether a server that was chosen earlier may still take new work."""
         return server.identity in self._usable
 
     def awaits_centre(self, service: str) -> bool:
-        """Tell whether servers of a service stand in a drained data centre."""
+        """Return whether a service has listed servers in a drained data centre."""
         drained = self._drained
         return any(
             server.service == service and server.data_centre in drained
@@ -106,71 +107,72 @@
         )
 
     def when_unused(self, unused: Callable[[str], None]) -> None:
-        """Have a function called with the host of each server that is used no more."""
+        """Set the callback for the host of each server that is no longer used."""
         self._unused = unused
 
     def take_list(self, listed: Iterable[Server]) -> None:
-        """Take a published instance list."""
+        """Replace the listed servers with a published instance list."""
         with self._lock:
             self._listed = tuple(listed)
             self._identities = {server.identity for server in self._listed}
-            self._forget_nameless()
+            self._forget_without_incarnation()
             for server in self._listed:
                 if server.state is ServerState.LEAVING:
-                    self._remember(server.identity)
-            dropped = self._rebuild()
-        self._drop(dropped)
+                    self._add_leaving(server.identity)
+            unused = self._rebuild()
+        self._report_unused(unused)
 
     def take_drained(self, data_centres: frozenset[str]) -> None:
-        """Take which data centres are drained: all of them, not what has changed."""
+        """Set the drained data centres: the whole set, not a difference."""
         with self._lock:
             self._drained = data_centres
             self._awaits_orders = False
-            dropped = self._rebuild()
-        self._drop(dropped)
+            unused = self._rebuild()
+        self._report_unused(unused)
 
     def note_leaving(self, server: Server) -> bool:
-        """Take a server's own word that it is leaving; False where it was known."""
+        """Record a server's own statement that it is leaving; False if known before."""
         if not self.take_notice(server.identity):
             return False
         self._left(server)
         return True
 
     def take_notice(self, identity: tuple[str, str, str]) -> bool:
-        """Take another entry's notice that a server said that it is leaving.
+        """Record another entry's notice that a server is leaving.
 
         :returns: whether it was not known yet.
         """
         with self._lock:
             if identity in self._leaving:
                 return False
-            self._remember(identity)
-            dropped = self._rebuild()
-        self._drop(dropped)
+            self._add_leaving(identity)
+            unused = self._rebuild()
+        self._report_unused(unused)
         return True
 
-    def _remember(self, identity: tuple[str, str, str]) -> None:
-        """Remember a leaving server, and forget the oldest that is not listed.
+    def _add_leaving(self, identity: tuple[str, str, str]) -> None:
+        """Add a leaving server; if there are too many, remove the oldest unlisted one.
 
-        An instance that a lagging list drops and names again is still the same, so
-        that its leaving outlives the list.
+        The leaving state is kept for unlisted servers, because an outdated list can
+        omit an instance and list it again later.
         """
         self._leaving[identity] = None
         if len(self._leaving) > MAX_REMEMBERED_LEAVING:
             unlisted = (i for i in self._leaving if i not in self._identities)
             self._leaving.pop(next(unlisted, identity))
 
-    def _forget_nameless(self) -> None:
-        """Forget servers without an incarnation that the list no longer names.
+    def _forget_without_incarnation(self) -> None:
+        """Remove leaving servers that have no incarnation and are no longer listed.
 
-        One can't be told from its replacement, so that only this ends its leaving.
+        Such a server can't be distinguished from its replacement, so that its leaving
+        state ends only when it is no longer listed.
         """
         for identity in self._leaving.keys() - self._identities:
             if not identity[2]:
                 del self._leaving[identity]
 
     def _rebuild(self) -> set[str]:
-        """Work out which servers may take new work; return hosts that no longer do."""
+        """Recompute the servers that may take new work; return hosts not used now."""
         usable = [
             server
             for server in self._listed
@@ -186,6 +188,6 @@
         self._usable = {server.identity: server.host for server in usable}
         return {host for key, host in before.items() if key not in self._usable}
 
-    def _drop(self, hosts: set[str]) -> None:
+    def _report_unused(self, hosts: set[str]) -> None:
         for host in hosts:
             self._unused(host)
