--- a/boragestream/policy/candidates.py
+++ b/boragestream/policy/candidates.py
@@ -1,4 +1,4 @@
-"""Which servers an attempt may be given now: those with room that did not just fail.
+"""Selects the servers that an attempt may use: with room and without recent failure.
 
 Choosing among them is left to ``policy.routing``.
 """
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingNeed:
-    """What an attempt needs of its server.
+    """The requirements of an attempt on its server.
 
-    :ivar avoid: names of servers that the stage has tried already.
-    :ivar prefix: the key of its prompt's prefix; None where caches don't matter.
-    :ivar without: mechanisms that are switched off.
+    :ivar avoid: the names of servers that the stage has tried already.
+    :ivar prefix: the key of the prompt's prefix; None if caches don't matter.
+    :ivar without: the mechanisms that are switched off.
     """
 
     avoid: frozenset[str] = frozenset()
@@ -36,18 +36,20 @@
     now: float,
     strict: bool = False,
 ) -> list[Server]:
-    """Return the servers that have room and did not just fail.
+    """Return the servers that have room and are not ejected.
 
-    Where all of them just failed, the failures are overlooked, so that a service is
-    never without a server because of them; a strict call wants none then.
+    If all servers are ejected, ejection is ignored, so that it never leaves a service
+    without a server.
+
+    :param strict: whether to return none in that case.
     """
-    known = [(s, loads.get(s)) for s in servers if s.name not in need.avoid]
-    roomy = [(s, load) for s, load in known if _has_room(load, need, now)]
+    candidates = [(s, loads.get(s)) for s in servers if s.name not in need.avoid]
+    with_room = [(s, load) for s, load in candidates if _has_room(load, need, now)]
     if "ejection" not in need.without:
-        closed = [(s, load) for s, load in roomy if not is_open(load.circuit, now)]
-        all_failed = all(is_open(load.circuit, now) for _, load in known)
-        roomy = closed if closed or strict or not all_failed else roomy
-    return [server for server, _ in roomy]
+        closed = [(s, load) for s, load in with_room if not is_open(load.circuit, now)]
+        all_failed = all(is_open(load.circuit, now) for _, load in candidates)
+        with_room = closed if closed or strict or not all_failed else with_room
+    return [server for server, _ in with_room]
 
 
 def _has_room(load: ServerLoad, need: RoutingNeed, now: float) -> bool:
--- a/boragestream/policy/granters.py
+++ b/boragestream/policy/granters.py
@@ -29,9 +29,9 @@
 class Standing(Enum):
     """The position of a granting entry in the ranking, and how certain it is."""
 
-    FIRST = "the first for all that can be known"
-    NEW = "the first since a moment ago, or one that stands in for it"
-    DIVIDED = "the first, while others are silent and may have another"
+    FIRST = "first in rank, as far as this entry can know"
+    NEW = "first in rank for a short time only, or the substitute of the first"
+    DIVIDED = "first in rank, but other entries may have a different first one"
 
 
 class Granters:
--- a/boragestream/policy/load.py
+++ b/boragestream/policy/load.py
@@ -1,8 +1,8 @@
-"""What an entry knows of each server's load.
+"""Each server's load as known to one entry.
 
-Counts, times, limits and failures come from the entry's own calls; what other
-entries do there is known from the server's reports alone. Choosing among the servers
-is left to ``policy.routing``.
+Counts, times, limits and failures come from the entry's own calls. Calls of other
+entries are known only from the server's reports. Choosing among the servers is left to
+``policy.routing``.
 """
 
 import contextlib
@@ -28,23 +28,23 @@
 __all__ = ["CallEnd", "LoadTable", "ServerLoad"]
 
 SMOOTHING = 0.2
-# A much slower answer counts for more than a usual one: a straggler must be known
-# before it has spoilt many calls.
-SLOWER = 2.0
-SLOWER_SMOOTHING = 0.5
-# What was measured longer ago says nothing of a server any more. Each time that a
-# forgotten server turns out to be as it was, it is believed for longer, so that the
-# probes of a lasting straggler become rare.
+# An answer slower than SLOW_FACTOR times the smoothed time has a greater weight than a
+# usual one, so that a straggler is detected before it has delayed many calls.
+SLOW_FACTOR = 2.0
+SLOW_SMOOTHING = 0.5
+# Older measurements are ignored. Each time that an expired measurement is confirmed by
+# a new one, the period is doubled up to the maximum, so that a permanent straggler is
+# probed less and less often.
 FORGET_SECONDS = 3.0
-MOST_FORGET_SECONDS = 24.0
+MAX_FORGET_SECONDS = 24.0
 UNCHANGED_SHARE = 0.5
-# The least time creeps up, so that a server that has become slower for good is
-# measured by what it can do now.
-LEAST_GROWTH = 1.002
+# The minimum time grows by this factor with each answer, so that a server that has
+# become permanently slower is compared with its present speed.
+MINIMUM_GROWTH = 1.002
 
 
 class CallEnd(Enum):
-    """How a call on a server ended."""
+    """The outcome of a call on a server."""
 
     ANSWERED = "the answer is whole"
     CUT = "the answer was an error or not whole"
@@ -57,25 +57,25 @@
 class ServerLoad:
     """The load of one server as known to this entry.
 
-    :ivar open_calls: when each call that this entry has open there began.
-    :ivar seconds: smoothed time of a call; 0 before the first.
+    :ivar open_calls: the start times of this entry's open calls, by call number.
+    :ivar seconds: the smoothed time of a call; 0 before the first.
     :ivar seconds_at: when ``seconds`` was last measured.
-    :ivar forget_seconds: after how long a measurement says nothing any more.
-    :ivar least: the least time seen, by kind of call.
+    :ivar forget_seconds: the age at which a measurement expires.
+    :ivar min_seconds: the minimum time, by kind of call.
     :ivar report: the server's last report; None before the first.
-    :ivar report_at: when it came.
-    :ivar own_at_report: calls of this entry at that moment.
-    :ivar limit: how many calls this entry may have open there.
+    :ivar report_at: when the report arrived.
+    :ivar own_at_report: the number of this entry's open calls at that moment.
+    :ivar limit: the most calls that this entry may have open on the server.
     :ivar limit_at: when the limit was last lowered.
-    :ivar circuit: what recent failures say.
-    :ivar eased_from: when its share began to grow; None where it is whole.
+    :ivar circuit: the state of the circuit breaker.
+    :ivar eased_from: when its share began to grow; None if it needs no easing.
     """
 
     open_calls: dict[int, float] = field(default_factory=dict)
     seconds: float = 0.0
     seconds_at: float = 0.0
     forget_seconds: float = FORGET_SECONDS
-    least: dict[str, float] = field(default_factory=dict)
+    min_seconds: dict[str, float] = field(default_factory=dict)
     report: LoadReport | None = None
     report_at: float = 0.0
     own_at_report: int = 0
@@ -86,24 +86,25 @@
 
     @property
     def in_progress(self) -> int:
-        """How many calls this entry has open there."""
+        """The number of calls that this entry has open on the server."""
         return len(self.open_calls)
 
     def oldest_seconds(self, now: float) -> float:
-        """Return for how long the oldest open call has been waiting; 0 for none."""
+        """Return for how many seconds the oldest open call has run; 0 for none."""
         with contextlib.suppress(StopIteration, RuntimeError):
-            # Another thread may end a call meanwhile; then the next look tells.
+            # Another thread may end a call at the same time; the next call of this
+            # method then returns the time.
             return now - next(iter(self.open_calls.values()))
         return 0.0
 
     def slots(self, with_reports: bool = True) -> float:
-        """Return how many calls run at once; the limit where none was reported."""
+        """Return the calls that run at once; the limit if no slots were reported."""
         if self.report is None or not with_reports:
             return self.limit
         return self.report.slots
 
     def calls(self, now: float, with_reports: bool = True) -> float:
-        """Return the expected calls in progress, those of other entries included."""
+        """Return the expected number of calls in progress, of all entries."""
         if self.report is None or not with_reports:
             return self.in_progress
         age = now - self.report_at
@@ -114,8 +115,8 @@
 class LoadTable:
     """The loads by server.
 
-    :param clock: times reports, failures and easing.
-    :param rng: spreads the probes of ejected servers.
+    :param clock: the time source of reports, failures and easing.
+    :param rng: randomizes the times at which ejected servers are probed.
     """
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
@@ -129,7 +130,7 @@
         self._first_report: Callable[[str], None] = lambda service: None
 
     def when_first_reported(self, reported: Callable[[str], None]) -> None:
-        """Have a function called with the service of a server's first report."""
+        """Set the callback for the service of each server that first reports a load."""
         self._first_report = reported
 
     def get(self, server: Server) -> ServerLoad:
@@ -137,9 +138,9 @@
         return self._loads.get(server.identity) or ServerLoad()
 
     def take_list(self, servers: Iterable[Server]) -> None:
-        """Take the listed servers: ease new ones in and forget those that are gone.
+        """Set the listed servers: ease new ones in and delete those not listed.
 
-        The servers of the first list are new to this entry alone and need no easing.
+        The servers of the first list are new only to this entry and need no easing.
         """
         now = self._clock.now()
         with self._lock:
@@ -156,11 +157,11 @@
             self._listed = True
 
     def region_of(self, data_centre: str) -> str:
-        """Return the region of a data centre; empty where it is not known."""
+        """Return the region of a data centre; empty if it is not known."""
         return self._regions.get(data_centre, "")
 
     def begin(self, server: Server) -> int:
-        """Count a call that begins; return its number, which ``end`` asks for."""
+        """Record the start of a call; return its number, which ``end`` requires."""
         number = next(self._numbers)
         now = self._clock.now()
         with self._lock:
@@ -170,7 +171,7 @@
         return number
 
     def note_report(self, server: Server, report: LoadReport) -> None:
-        """Take a server's report of its load."""
+        """Record a server's report of its load."""
         with self._lock:
             load = self._loads.setdefault(server.identity, ServerLoad())
             first = load.report is None
@@ -183,28 +184,28 @@
     def end(
         self, server: Server, number: int, end: CallEnd, seconds: float, kind: str = ""
     ) -> None:
-        """Count a call that has ended.
+        """Record the end of a call.
 
         :param number: the call's number.
-        :param seconds: how long it took.
-        :param kind: calls of one kind need about the same time on an idle server.
+        :param seconds: the duration of the call.
+        :param kind: calls of one kind take about the same time on an idle server.
         """
         now = self._clock.now()
         with self._lock:
             load = self._loads.setdefault(server.identity, ServerLoad())
             if end is CallEnd.ANSWERED:
-                _take_answer(load, seconds, kind, now)
+                _record_answer(load, seconds, kind, now)
             elif end is CallEnd.CANCELLED:
-                _take_cancelled(load, seconds, now)
+                _record_cancellation(load, seconds, now)
             elif end is CallEnd.REFUSED:
-                _take_refusal(load, now)
+                _record_refusal(load, now)
             else:
                 reached = end is CallEnd.CUT
                 load.circuit = after_failure(load.circuit, now, reached, self._rng)
             load.open_calls.pop(number, None)
 
     def snapshot(self) -> dict[str, ServerLoad]:
-        """Return a copy, by server name, of what was called, for status pages."""
+        """Return copies of the loads of measured servers by name, for status pages."""
         with self._lock:
             called = [(k, v) for k, v in self._loads.items() if v.seconds_at]
             return {
@@ -213,44 +214,44 @@
             }
 
 
-def _take_answer(load: ServerLoad, seconds: float, kind: str, now: float) -> None:
+def _record_answer(load: ServerLoad, seconds: float, kind: str, now: float) -> None:
     _smooth(load, seconds, now)
-    least = min(load.least.get(kind, seconds) * LEAST_GROWTH, seconds)
-    load.least[kind] = least
+    minimum = min(load.min_seconds.get(kind, seconds) * MINIMUM_GROWTH, seconds)
+    load.min_seconds[kind] = minimum
     if load.circuit.until:
         load.eased_from = now
     load.circuit = CLOSED
     report = load.report if load.report_at >= now - seconds else None
-    queueing = is_queueing(seconds, least, report)
-    # One queue at the server is seen by every call that waited in it, and shall
-    # lower the limit once.
+    queueing = is_queueing(seconds, minimum, report)
+    # Every call that waited in the same queue at the server detects it; the limit must
+    # be lowered only once for all of them.
     if queueing and now - load.limit_at < load.seconds:
         return
     load.limit = next_limit(load.limit, load.in_progress, queueing)
     load.limit_at = now if queueing else load.limit_at
 
 
-def _take_cancelled(load: ServerLoad, seconds: float, now: float) -> None:
+def _record_cancellation(load: ServerLoad, seconds: float, now: float) -> None:
     load.circuit = after_probe_cancelled(load.circuit)
     if seconds > load.seconds:
         _smooth(load, seconds, now)
 
 
-def _take_refusal(load: ServerLoad, now: float) -> None:
+def _record_refusal(load: ServerLoad, now: float) -> None:
     load.circuit = CLOSED
     load.limit = next_limit(load.limit, load.in_progress, queueing=True)
     load.limit_at = now
 
 
 def _smooth(load: ServerLoad, seconds: float, now: float) -> None:
-    """Take a measured time; the older the last one, the more the new one counts."""
-    known = load.seconds or seconds
-    faded = min(1.0, (now - load.seconds_at) / load.forget_seconds)
-    if seconds < UNCHANGED_SHARE * known:
+    """Add a measurement to the smoothed time; its weight grows with the time's age."""
+    previous = load.seconds or seconds
+    decay = min(1.0, (now - load.seconds_at) / load.forget_seconds)
+    if seconds < UNCHANGED_SHARE * previous:
         load.forget_seconds = FORGET_SECONDS
-    elif faded >= UNCHANGED_SHARE:
-        load.forget_seconds = min(MOST_FORGET_SECONDS, 2 * load.forget_seconds)
-    smoothing = SLOWER_SMOOTHING if seconds > SLOWER * known else SMOOTHING
-    weight = max(smoothing, faded)
-    load.seconds = known + weight * (seconds - known)
+    elif decay >= UNCHANGED_SHARE:
+        load.forget_seconds = min(MAX_FORGET_SECONDS, 2 * load.forget_seconds)
+    smoothing = SLOW_SMOOTHING if seconds > SLOW_FACTOR * previous else SMOOTHING
+    weight = max(smoothing, decay)
+    load.seconds = previous + weight * (seconds - previous)
     load.seconds_at = now
--- a/boragestream/policy/routing.py
+++ b/boragestream/policy/routing.py
@@ -1,8 +1,8 @@
 """Chooses the backend server for an attempt.
 
-Each policy is a ``RoutingPolicy``; the published document names the one in use, so
-that they can be compared under the same load. Whether a request is admitted at all is
-left to ``policy.admission``, waiting for a server to ``policy.waiting``.
+Each policy is a ``RoutingPolicy``. The published document names the policy in use, so
+that policies can be compared under the same load. Admission of requests is left to
+``policy.admission``, waiting for a server to ``policy.waiting``.
 """
 
 import itertools
@@ -28,36 +28,38 @@
 ]
 
 SAMPLED_SERVERS = 4
-# Where none of the first sample has room, some more are looked at, never all.
+# If no server of the first sample has room, this many servers are checked, never all.
 WIDER_SAMPLE = 16
-LEAST_SECONDS = 0.0005
-# How often its usual time a call is open before its server counts as a straggler.
-OVERDUE = 1.5
-# Calls below the slots of a server do not wait for one another, yet equal servers
-# shall have equally many.
-SPREAD = 0.5
+MIN_SECONDS = 0.0005
+# A server counts as a straggler once a call there has been open for this many times
+# its usual time.
+OVERDUE_FACTOR = 1.5
+# The weight of calls that do not exceed a server's slots. They do not wait for one
+# another, but equal servers shall have equal numbers of calls.
+SPREAD_WEIGHT = 0.5
 OTHER_CENTRE_SECONDS = 0.0002
 OTHER_REGION_SECONDS = 0.03
 PREFERRED_SERVERS = 2
 AFFINITY_BOUND = 1.25
 AFFINITY_SLACK = 1.0
-# A cached prefix does not make up for a straggler.
-TOLERATED_SLOWNESS = 2.5
+# A server that is slower than this many times the usual time is not preferred: its
+# cached prefix does not compensate for the slowness.
+MAX_SLOWDOWN = 2.5
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where an entry or a server is; an empty region is not known."""
+    """The location of an entry or a server; the region is empty if not known."""
 
     data_centre: str
     region: str = ""
 
 
 class RoutingPolicy(Protocol):
-    """Chooses one of some servers."""
+    """Chooses one of several servers."""
 
     def choose(self, servers: Sequence[Server], need: RoutingNeed) -> Server | None:
-        """Return one of the servers, or None where none has room now.
+        """Return one of the servers, or None if none has room now.
 
         :param servers: the live servers of one service.
         """
@@ -65,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoundRobin:
-    """Takes the servers in turn; a baseline."""
+    """Chooses the servers in turn; a baseline for comparison."""
 
     loads: LoadTable
     clock: Clock
@@ -82,24 +84,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LeastConnections:
-    """Takes the server with the fewest calls of this entry; a baseline."""
+    """Chooses the server with the fewest calls of this entry; a baseline."""
 
     loads: LoadTable
     clock: Clock
     rng: random.Random
 
     def choose(self, servers: Sequence[Server], need: RoutingNeed) -> Server | None:
-        """Return the server with the fewest calls in progress, ties by chance."""
+        """Return the server with the fewest calls in progress; break ties at random."""
         usable = usable_servers(servers, self.loads, need, self.clock.now())
-        key = _calls_then(self.loads, self.rng)
+        key = _fewest_calls_key(self.loads, self.rng)
         return min(usable, key=key, default=None)
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectedFinish:
-    """Takes the earliest finish of a few sampled servers.
+    """Chooses the server with the earliest expected finish out of a small sample.
 
-    :ivar home: returns where this entry is.
+    :ivar home: returns this entry's location.
     """
 
     loads: LoadTable
@@ -111,8 +113,8 @@
     def choose(self, servers: Sequence[Server], need: RoutingNeed) -> Server | None:
         """Return the sampled server whose call is expected to end first.
 
-        A server that likely holds the prompt's prefix goes first, unless it has more
-        calls than the sampled ones by far.
+        A server that probably has the prompt's prefix cached is preferred, unless it
+        has far more calls than the sampled ones.
         """
         now = self.clock.now()
         usable = self._sample(servers, need, now)
@@ -128,16 +130,16 @@
         self, servers: Sequence[Server], need: RoutingNeed, now: float
     ) -> list[Server]:
         count = min(WIDER_SAMPLE, len(servers))
-        wide = self.rng.sample(servers, count)
-        first = usable_servers(wide[:SAMPLED_SERVERS], self.loads, need, now)
-        if not first and count > SAMPLED_SERVERS:
-            first = usable_servers(wide, self.loads, need, now)
-        return self._eased(first, need, now)
+        sample = self.rng.sample(servers, count)
+        usable = usable_servers(sample[:SAMPLED_SERVERS], self.loads, need, now)
+        if not usable and count > SAMPLED_SERVERS:
+            usable = usable_servers(sample, self.loads, need, now)
+        return self._eased(usable, need, now)
 
     def _eased(
         self, servers: list[Server], need: RoutingNeed, now: float
     ) -> list[Server]:
-        """Leave out a new server as often as its share says, but never the last."""
+        """Randomly exclude new servers according to their shares, but never all."""
         if "easing" in need.without:
             return servers
         shares = [eased_share(self.loads.get(s).eased_from, now) for s in servers]
@@ -156,10 +158,10 @@
 
         def expected(pair: tuple[Server, ServerLoad]) -> float:
             server, load = pair
-            seconds = _believed_seconds(load, usual, now)
+            seconds = _estimated_seconds(load, usual, now)
             slots = load.slots(with_reports)
             calls = load.calls(now, with_reports)
-            rounds = max(1.0, (calls + 1) / slots) + SPREAD * calls / slots
+            rounds = max(1.0, (calls + 1) / slots) + SPREAD_WEIGHT * calls / slots
             return rounds * seconds + _distance_seconds(home, server)
 
         return min(zip(servers, loads, strict=True), key=expected)[0]
@@ -178,36 +180,36 @@
         for server in usable_servers(likely, self.loads, need, now, strict=True):
             load = self.loads.get(server)
             usual = _usual_seconds([load, *map(self.loads.get, sampled)])
-            slow = _believed_seconds(load, usual, now) > TOLERATED_SLOWNESS * usual
+            slow = _estimated_seconds(load, usual, now) > MAX_SLOWDOWN * usual
             if not slow and load.calls(now, with_reports) <= bound:
                 return server
         return None
 
 
 def _usual_seconds(loads: list[ServerLoad]) -> float:
-    """Return the median time, the lower of two, so that a straggler is not usual."""
+    """Return the lower median time, so that a straggler of two does not define it."""
     measured = sorted(load.seconds for load in loads if load.seconds)
     usual = measured[(len(measured) - 1) // 2] if measured else 0.0
-    return max(usual, LEAST_SECONDS)
+    return max(usual, MIN_SECONDS)
 
 
-def _believed_seconds(load: ServerLoad, usual: float, now: float) -> float:
-    """Return a server's time for a call.
+def _estimated_seconds(load: ServerLoad, usual: float, now: float) -> float:
+    """Return the estimated time of a call on a server.
 
-    An old measurement fades to the usual time, but not while a call is open there:
-    one is enough to measure it again. A call that has been open for longer than it
-    should tells of a straggler before any answer does; as long as it took, it will
-    take once more.
+    The weight of an old measurement decays towards the usual time, but not while a call
+    is open on the server, since one call suffices to measure it again. An overdue call
+    reveals a straggler before any answer does; it is expected to take as long again as
+    it has been open.
     """
-    believed = usual
+    estimate = usual
     open_seconds = load.oldest_seconds(now)
     if load.seconds:
         age = 0.0 if open_seconds else now - load.seconds_at
-        trust = max(0.0, 1.0 - age / load.forget_seconds)
-        believed += trust * (load.seconds - usual)
-    if open_seconds > OVERDUE * believed:
-        believed = 2 * open_seconds
-    return max(believed, LEAST_SECONDS)
+        weight = max(0.0, 1.0 - age / load.forget_seconds)
+        estimate += weight * (load.seconds - usual)
+    if open_seconds > OVERDUE_FACTOR * estimate:
+        estimate = 2 * open_seconds
+    return max(estimate, MIN_SECONDS)
 
 
 def _distance_seconds(home: Place, server: Server) -> float:
@@ -216,7 +218,7 @@
     return 0.0 if server.data_centre == home.data_centre else OTHER_CENTRE_SECONDS
 
 
-def _calls_then(
+def _fewest_calls_key(
     loads: LoadTable, rng: random.Random
 ) -> Callable[[Server], tuple[int, float]]:
     return lambda server: (loads.get(server).in_progress, rng.random())
@@ -225,7 +227,7 @@
 def routing_policies(
     loads: LoadTable, clock: Clock, rng: random.Random, home: Callable[[], Place]
 ) -> dict[str, RoutingPolicy]:
-    """Return every policy by the name that the document uses."""
+    """Return all policies by their names in the document."""
     return {
         "expected-finish": ExpectedFinish(loads, clock, rng, home),
         "least-connections": LeastConnections(loads, clock, rng),
--- a/boragestream/policy/server_choice.py
+++ b/boragestream/policy/server_choice.py
@@ -1,9 +1,10 @@
 """Chooses the backend server of a forwarded call.
 
-Engines keep the prompts that they have read. Requests that share the longest part of
-their prompts are sent to the same engine, as long as it has not far more work than the
-others. All entries rank the engines alike, so that they agree without a word. Plain
-services have no memory, and the server with the least to do is taken.
+Engines cache the prompts that they have read. Requests that share the longest part of
+their prompts are sent to the same engine, unless it has far more open calls than the
+others. All entries compute the same ranking of engines, so that they agree without
+communication. Plain services have no cache, so that the server with the fewest open
+calls is chosen.
 """
 
 import threading
@@ -28,42 +29,43 @@
     "stage_place",
 ]
 
-# A preferred engine may have this many times the average of the calls of this entry,
-# and so many more, before another is taken.
+# A preferred engine is used up to AFFINITY_BOUND times the average number of this
+# entry's calls per engine, plus AFFINITY_SLACK.
 AFFINITY_BOUND = 2.0
 AFFINITY_SLACK = 4.0
-# Calls that differ by less than one are spread by distance: a server in the own data
-# centre counts as this many calls less.
+# Among servers with equally many calls the nearer one is chosen: a server in the
+# entry's own data centre counts as having this many calls less.
 NEAR_CALLS = 0.5
-# Results below this size are read over any link in less than a millisecond and cost
-# next to nothing between data centres; larger ones are a hundred times as large.
+# Smaller results are read over any link in less than a millisecond and cost almost
+# nothing between data centres; larger ones are about a hundred times as large.
 LARGE_RESULT_BYTES = 300_000.0
-# To read a shared token again costs about as much as this many bytes of results between
-# data centres, so that long prompts go where they are cached and not to their results.
-BYTES_A_TOKEN = 1_200
-# The first attempts keep away from servers that failed lately; limits by queueing are
-# left out, since streams differ in length by far more than any queue costs.
-WITHOUT = ("concurrency-limit", "easing", "load-reports")
+# Reading a shared token again costs about as much as a transfer of this many bytes of
+# results between data centres. A long prompt therefore goes to the engine that caches
+# it and not to the data centre of its results.
+BYTES_PER_TOKEN = 1_200
+# First attempts avoid servers that failed recently. Limits that depend on queueing are
+# disabled, since the lengths of streams differ by far more than any queueing time.
+DISABLED_MECHANISMS = ("concurrency-limit", "easing", "load-reports")
 
 
 class OpenCalls:
-    """How many calls this entry has open at each server, streams included."""
+    """The number of calls that this entry has open at each server, with streams."""
 
     def __init__(self) -> None:
         self._counts: Counter[tuple[str, str, str]] = Counter()
         self._lock = threading.Lock()
 
     def count(self, server: Server) -> int:
-        """Return the open calls at a server."""
+        """Return the number of open calls at a server."""
         return self._counts[server.identity]
 
     def begin(self, server: Server) -> None:
-        """Count a call that begins."""
+        """Record the start of a call."""
         with self._lock:
             self._counts[server.identity] += 1
 
     def end(self, server: Server) -> None:
-        """Count a call that has ended."""
+        """Record the end of a call."""
         with self._lock:
             self._counts[server.identity] -= 1
             if self._counts[server.identity] <= 0:
@@ -74,8 +76,8 @@
 class ServerChoice:
     """Chooses servers.
 
-    :ivar loads: which servers failed lately.
-    :ivar data_centre: this entry's own.
+    :ivar loads: provides which servers failed recently.
+    :ivar data_centre: this entry's data centre.
     """
 
     loads: LoadTable
@@ -86,7 +88,7 @@
     def plain(
         self, servers: Sequence[Server], avoid: frozenset[str] = frozenset()
     ) -> Server | None:
-        """Return the server with the fewest calls of this entry; None for none."""
+        """Return the server with the fewest calls of this entry; None without any."""
         usable = self._usable(servers, avoid)
         return min(usable, key=self._work, default=None)
 
@@ -97,11 +99,11 @@
         near: str = "",
         avoid: frozenset[str] = frozenset(),
     ) -> Server | None:
-        """Return the engine that most likely holds a part of a prompt.
+        """Return the engine that most likely has a part of a prompt cached.
 
-        :param part: the part; empty where nothing is shared.
-        :param near: the data centre whose engines go first, where results to be
-            fetched lie there; empty for none.
+        :param part: the identity of the part; empty if no part is shared.
+        :param near: the data centre whose engines are preferred, because it holds
+            results that the call reads; empty for no preference.
         """
         usable = self._usable(servers, avoid)
         usable = [s for s in usable if s.data_centre == near] or usable
@@ -116,12 +118,13 @@
         return min(usable, key=self._work)
 
     def _usable(self, servers: Sequence[Server], avoid: frozenset[str]) -> list[Server]:
-        need = RoutingNeed(avoid=avoid, without=WITHOUT)
+        need = RoutingNeed(avoid=avoid, without=DISABLED_MECHANISMS)
         return usable_servers(servers, self.loads, need, self.clock.now())
 
     def _work(self, server: Server) -> tuple[float, int]:
         near = NEAR_CALLS if server.data_centre == self.data_centre else 0.0
-        # Entries of one data centre break ties alike, those of others differently.
+        # Entries of one data centre break ties the same way; each data centre breaks
+        # them differently.
         tie = _rank(self.data_centre, server)
         return self.open_calls.count(server) - near, tie
 
@@ -129,22 +132,23 @@
 def shared_part(prompt: Sequence[PromptPart]) -> str:
     """Return the part of a prompt by which its engine is chosen; empty for none.
 
-    The last part is the request's own. The one before it is the longest beginning that
-    other requests share: an engine that holds it holds everything before it too.
+    The last part belongs to the request alone. The part before it ends the longest
+    prefix that other requests share: an engine that has it cached also has all parts
+    before it.
     """
     return prompt[-min(len(prompt), 2)].identity if prompt else ""
 
 
 def shared_tokens(prompt: Sequence[PromptPart]) -> int:
-    """Return how many tokens of a prompt other requests share."""
+    """Return the number of a prompt's tokens that other requests share."""
     return sum(part.tokens for part in prompt[:-1])
 
 
 def near_results(results: Sequence[StageResult], shared_tokens: int = 0) -> str:
-    """Return the data centre near which a call that reads results should run.
+    """Return the data centre in which a call that reads results should run.
 
-    :param shared_tokens: how much of its prompt other requests share.
-    :returns: empty where there is too little to read to care.
+    :param shared_tokens: the number of its prompt's tokens that other requests share.
+    :returns: empty if the results are too small to matter.
     """
     sizes: Counter[str] = Counter()
     for result in results:
@@ -153,22 +157,25 @@
         return ""
     centre, size = sizes.most_common(1)[0]
     return (
-        centre if size >= max(LARGE_RESULT_BYTES, shared_tokens * BYTES_A_TOKEN) else ""
+        centre
+        if size >= max(LARGE_RESULT_BYTES, shared_tokens * BYTES_PER_TOKEN)
+        else ""
     )
 
 
 def stage_place(
     read: Sequence[StageResult], count: int, result_bytes: float, home: str
 ) -> str:
-    """Return the data centre where a stage's pieces should be made; empty for any.
+    """Return the data centre in which a stage's pieces should run; empty for any.
 
-    Large results of a first stage are made beside the engine that holds the prompt of
-    their request: neither do they cross data centres, nor is the prompt read again.
+    Large results of a first stage are produced in the data centre of the engine that
+    has the request's prompt cached. They then need no transfer between data centres,
+    and the prompt need not be read again.
 
     :param read: the results that each of the pieces reads.
-    :param count: how many pieces are made.
+    :param count: the number of pieces.
     :param result_bytes: the approximate size of each result.
-    :param home: the data centre of the engine that will most likely read them.
+    :param home: the data centre of the engine that will most likely read the results.
     """
     if read:
         return near_results([*read] * count)
