--- a/boragestream/policy/affinity.py
+++ b/boragestream/policy/affinity.py
@@ -1,8 +1,8 @@
-"""Finds the servers that most likely hold a prompt's prefix in their cache.
+"""Finds the servers that most likely have a prompt's prefix in their cache.
 
-The servers of a service stand on a hash ring, so that one that comes or goes moves
-only its own prefixes, and a look-up needs no pass over all servers as rendezvous
-hashing would. Whether the found server has room is left to ``policy.routing``.
+The servers of a service are placed on a consistent-hash ring. A server that is added or
+removed moves only its own prefixes, and a look-up does not visit all servers as
+rendezvous hashing would. Whether a server has room is left to ``policy.routing``.
 """
 
 import bisect
@@ -17,17 +17,17 @@
 
 PREFIX_CHARACTERS = 256
 POINTS_PER_SERVER = 16
-RINGS_KEPT = 64
+MAX_RINGS = 64
 
 
 def prefix_key(model: str, prompt: str) -> int:
-    """Return the key that prompts with the same beginning share."""
+    """Return the key shared by all prompts that begin with the same characters."""
     text = f"{model}\0{prompt[:PREFIX_CHARACTERS]}"
     return xxhash.xxh3_64_intdigest(text.encode("utf-8", "surrogatepass"))
 
 
 class _Ring:
-    """The points of some servers, in order."""
+    """The hash points of a service's servers, in ascending order."""
 
     def __init__(self, servers: Sequence[Server]) -> None:
         points = sorted(
@@ -48,7 +48,7 @@
 
 
 class AffinityTable:
-    """The rings of the services; one is made when its servers have changed."""
+    """The hash rings by service; a ring is rebuilt when the servers have changed."""
 
     def __init__(self) -> None:
         self._rings: dict[str, _Ring] = {}
@@ -57,10 +57,10 @@
     def preferred(
         self, servers: Sequence[Server], key: int, count: int
     ) -> list[Server]:
-        """Return the first few different servers for a prefix, the best first.
+        """Return the first ``count`` distinct servers for a prefix, the best first.
 
-        :param servers: all servers of one service, the same object while they are
-            the same; at least one.
+        :param servers: all servers of one service, at least one. The ring is reused as
+            long as the same object is passed.
         """
         found: list[Server] = []
         for server in self._ring(servers).from_key(key):
@@ -76,7 +76,7 @@
         if ring is None or ring.servers is not servers:
             ring = _Ring(servers)
             with self._lock:
-                if len(self._rings) >= RINGS_KEPT:
+                if len(self._rings) >= MAX_RINGS:
                     self._rings.clear()
                 self._rings[service] = ring
         return ring
--- a/boragestream/policy/circuits.py
+++ b/boragestream/policy/circuits.py
@@ -1,9 +1,9 @@
-"""Keeps calls away from a server that has just failed.
+"""Circuit breaker that ejects a server after recent failures.
 
-A server that could not be reached, or that cut answers twice in a row, is ejected for
-a short time that grows with each further failure. When the time is over, one call
-probes it. That the last server of a service is never ejected is left to
-``policy.routing``.
+A server that could not be reached, or that cut two answers in a row, is ejected for a
+short time that grows with each further failure. After that time one call probes the
+server. The rule that the last server of a service is never ejected is left to
+``policy.candidates``.
 """
 
 import random
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Circuit:
-    """What recent failures say of a server.
+    """The state of one server's circuit breaker.
 
-    :ivar failures: failures since the last answer.
-    :ivar until: the clock's seconds until which the server is ejected; 0 for never.
+    :ivar failures: the number of failures since the last answer.
+    :ivar until: when the ejection ends, in the clock's seconds; 0 without one.
     :ivar probe: whether a call that probes the server is in progress.
     """
 
@@ -42,7 +42,7 @@
 
 
 def is_open(circuit: Circuit, now: float) -> bool:
-    """Tell whether the server shall get no call now."""
+    """Return whether the server must get no call now."""
     return circuit.probe or now < circuit.until
 
 
@@ -51,24 +51,26 @@
 ) -> Circuit:
     """Return the circuit after a failure.
 
-    :param reached: whether the server took the call; one cut answer may be chance.
-    :param rng: spreads the entries' probes.
+    :param reached: whether the server accepted the call. A single cut answer does not
+        eject the server, since it may be accidental.
+    :param rng: randomizes the times at which the entries probe.
     """
     failures = circuit.failures + 1
     if reached and failures < CUTS_TO_EJECT:
         return Circuit(failures, 0.0)
     rounds = failures - (CUTS_TO_EJECT if reached else 1)
-    # The power is bounded as well, since a dead server fails without end.
+    # The exponent is bounded too, since a dead server fails an unlimited number of
+    # times.
     growth = GROWTH ** min(rounds, 16)
     seconds = min(FIRST_EJECTION_SECONDS * growth, LONGEST_EJECTION_SECONDS)
     return Circuit(failures, now + seconds * rng.uniform(0.75, 1.25))
 
 
 def probing(circuit: Circuit) -> Circuit:
-    """Return the circuit once a call has begun; the first after an ejection probes."""
+    """Return the circuit after a call began; the first after an ejection is a probe."""
     return replace(circuit, probe=True) if circuit.until else circuit
 
 
 def after_probe_cancelled(circuit: Circuit) -> Circuit:
-    """Return the circuit after a call that says nothing of the server."""
+    """Return the circuit after a call that gave no information on the server."""
     return replace(circuit, probe=False)
--- a/boragestream/policy/cold_servers.py
+++ b/boragestream/policy/cold_servers.py
@@ -1,30 +1,31 @@
-"""Which backend servers have just started, and how many requests they may be sent.
-
-A server that is cold crashes when it gets more requests in a second than it tolerates,
-whichever entries they come from. Nobody counts them all, so the bound must hold by what
-each entry does alone.
-
-Load patterns: a data centre comes back beside a burst; a rolling release; all servers
-of a service come back at once, while entries come and go and know different others.
-
-Warm servers go first: a cold one gets nothing while there is a warm one. Where none is
-warm each cold one may be used by a few entries, its senders, chosen alike by all from
-those that they know: of 74 entries that could send one request each in the same second,
-all together would pass a bound of 38. The arithmetic, for a bound of ``most`` arrivals
-in any second: a sender has a bucket of one request that fills up at ``rate``, so that
-it sends ``1 + rate`` in a second at the most; ``SENDERS`` of them, in each of ``VIEWS``
-opinions on who is alive, send ``VIEWS * SENDERS * (1 + rate) <= most``. An entry that
-has not agreed with others yet on who is there uses no cold server at all, however many
-start at once.
-
-A server says with its published entry for how long it stays cold; the time counts from
-when the word is known here, so that it ends too late, never too early. A data centre
-that was drained is taken back with all of its servers cold, since they may have turned
-cold right before, and that is published seconds later.
-
-Left out: that a server turns cold while it is in use is known once it is published, a
-heartbeat and a relay later. Which of the allowed servers is taken is decided by
-``policy.server_choice``.
+"""Limits the requests to cold servers, that is, to servers that have just started.
+
+A cold server crashes when it gets more requests in a second than it tolerates, from all
+entries together. No entry can count them all, so that each entry must keep the bound by
+its own behaviour alone.
+
+Load patterns: a data centre comes back into service during a burst; a rolling release;
+all servers of a service restart at once while entries start and stop and have different
+sets of live entries.
+
+A cold server gets no request while the service has a warm one. If none is warm, each
+cold server may be used by a few entries, its senders, which all entries select in the
+same way from the live entries that they know. Without senders, 74 entries that send one
+request each in the same second would exceed a bound of 38. For a bound of ``most``
+arrivals in any second: a sender has a token bucket with a capacity of one request,
+refilled at ``rate``, and thus sends at most ``1 + rate`` requests in a second. With
+``SENDERS`` senders in each of ``PARTITIONS`` groups of entries,
+``PARTITIONS * SENDERS * (1 + rate) <= most`` must hold. An entry that has not yet
+agreed with others on the live entries uses no cold server, however many entries start
+at once.
+
+A server's published record states for how long it stays cold. The time counts from the
+moment at which this entry learns of it, so that it ends too late rather than too early.
+When a drain is lifted, all servers of the data centre count as cold: they may have
+turned cold immediately before, which is published only seconds later.
+
+A server that turns cold while it is in use is known to be cold only after a heartbeat
+and a relay. The choice among the usable servers is left to ``policy.server_choice``.
 """
 
 import threading
@@ -38,24 +39,24 @@
 
 __all__ = ["ColdBound", "ColdServers", "sender_rate", "senders"]
 
-# More would leave each of them too small a part; fewer, and requests that come to other
-# entries find no server for as long as all are cold.
+# With more senders the rate of each would be too low. With fewer, requests at other
+# entries find no server for as long as all servers are cold.
 SENDERS = 4
-# Two halves of the entries that know nothing of each other each name senders of theirs.
-VIEWS = 2
-# A sender may have one request in hand at once, however slowly its bucket fills up.
+# In a network partition, two groups of entries each select their own senders.
+PARTITIONS = 2
+# The capacity of a sender's token bucket, in requests, independent of its rate.
 BURST = 1.0
-# Entries come and go, and their names are ranked for each server: not at each request.
+# Live entries change, and ranking them for each server is too costly for each request.
 RANK_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ColdBound:
-    """What a cold server tolerates.
+    """The load that a cold server tolerates, from all entries together.
 
-    :ivar rate: requests a second for as long as it is cold.
-    :ivar most: arrivals in any one second, from all entries.
-    :ivar seconds: how long a server is cold after its start.
+    :ivar rate: the sustained requests a second while the server is cold.
+    :ivar most: the maximum number of arrivals in any one second.
+    :ivar seconds: for how long a server is cold after its start.
     """
 
     rate: float
@@ -64,19 +65,20 @@
 
 
 def sender_rate(bound: ColdBound) -> tuple[int, float]:
-    """Return how many entries may send to a cold server, and each one's rate.
+    """Return the number of senders of a cold server and the rate of each.
 
-    :returns: requests a second; no senders where not even one keeps the bound.
+    :returns: the number, 0 if not even one sender keeps the bound, and the rate in
+        requests a second.
     """
-    count = min(SENDERS, int(bound.most / (VIEWS * BURST)))
+    count = min(SENDERS, int(bound.most / (PARTITIONS * BURST)))
     if count == 0:
         return 0, 0.0
-    spare = bound.most / (VIEWS * count) - BURST
-    return count, min(spare, bound.rate / count)
+    max_rate = bound.most / (PARTITIONS * count) - BURST
+    return count, min(max_rate, bound.rate / count)
 
 
 def senders(server: Server, entries: Iterable[str]) -> list[str]:
-    """Return the entries in their rank for a cold server, by rendezvous hashing."""
+    """Return the entries ranked for a cold server by rendezvous hashing."""
 
     def rank(entry: str) -> int:
         return xxhash.xxh3_64_intdigest(f"cold {server.name}\0{entry}".encode())
@@ -86,31 +88,31 @@
 
 @dataclass(slots=True)
 class _Cold:
-    """One cold server.
+    """The state of one cold server.
 
-    :ivar until: when it is warm, in the clock's seconds.
-    :ivar tokens: how many requests this entry may send now, if it is a sender.
-    :ivar filled_at: when they were counted last.
-    :ivar sends: whether this entry is a sender.
-    :ivar ranked_at: when that was looked up last.
+    :ivar until: when the server is warm, in the clock's seconds.
+    :ivar tokens: the number of requests that this entry may send now as a sender.
+    :ivar filled_at: when ``tokens`` was last updated.
+    :ivar is_sender: whether this entry is a sender.
+    :ivar ranked_at: when ``is_sender`` was last updated.
     """
 
     until: float
     tokens: float = BURST
     filled_at: float = 0.0
-    sends: bool = False
+    is_sender: bool = False
     ranked_at: float = float("-inf")
 
 
 class ColdServers:
-    """The cold servers as one entry knows them; any thread may ask.
+    """The cold servers as known to one entry; safe to use from any thread.
 
     :param own: this entry's name.
-    :param bound: returns what a cold server of a service tolerates; None where any
-        number of requests is.
-    :param ranked: returns the live entries in their rank for a server, the first that
-        may send to it first.
-    :param agreed: tells whether other entries know the same live ones.
+    :param bound: returns the load that a cold server of a service tolerates; None if
+        the service has no bound.
+    :param ranked: returns the live entries ranked for a server, the preferred sender
+        first.
+    :param agreed: returns whether other entries have the same set of live entries.
     """
 
     def __init__(
@@ -127,29 +129,29 @@
         self._agreed = agreed
         self._clock = clock
         self._cold: dict[tuple[str, str, str], _Cold] = {}
-        # When the last of them is warm: until then each choice looks them up.
+        # When the last cold server is warm; until then each choice checks ``_cold``.
         self._all_warm_at = float("-inf")
         self._lock = threading.Lock()
 
     @property
     def count(self) -> int:
-        """How many servers are cold now."""
+        """The number of servers that are cold now."""
         now = self._clock.now()
         return sum(now < cold.until for cold in list(self._cold.values()))
 
     def take(self, server: Server) -> None:
-        """Take a server's entry that was published just now."""
+        """Record the cold time of a server's newly published record."""
         self._note(server, server.cold_seconds)
 
     def assume_cold(self, servers: Iterable[Server]) -> None:
-        """Take servers for cold that may have turned so without a word."""
+        """Treat servers as cold that may have turned cold before it was published."""
         for server in servers:
             bound = self._bound(server.service)
             if bound is not None and bound.seconds > 0:
                 self._note(server, bound.seconds)
 
     def usable(self, servers: Sequence[Server]) -> Sequence[Server]:
-        """Return the warm servers; where there is none, the cold ones to use now."""
+        """Return the warm servers; if there are none, the cold ones usable now."""
         now = self._clock.now()
         if now >= self._all_warm_at:
             return servers
@@ -158,7 +160,7 @@
             return warm or [s for s in servers if self._may_send(s, now)]
 
     def admit(self, server: Server) -> bool:
-        """Tell whether a request may be sent now; one that may is counted."""
+        """Return whether a request may be sent now; if so, use a token for it."""
         now = self._clock.now()
         if now >= self._all_warm_at:
             return True
@@ -190,7 +192,7 @@
     def _may_send(self, server: Server, now: float) -> bool:
         bound = self._bound(server.service)
         if bound is None:
-            # A configuration without it came into force meanwhile.
+            # A configuration without the bound came into force in the meantime.
             return True
         cold = self._cold[server.identity]
         count, rate = sender_rate(bound)
@@ -198,6 +200,6 @@
         cold.tokens = min(BURST, cold.tokens + max(0.0, gained))
         cold.filled_at = now
         if now - cold.ranked_at >= RANK_SECONDS:
-            cold.sends = self._own in self._ranked(server)[:count]
+            cold.is_sender = self._own in self._ranked(server)[:count]
             cold.ranked_at = now
-        return cold.sends and cold.tokens >= 1 and self._agreed()
+        return cold.is_sender and cold.tokens >= 1 and self._agreed()
--- a/boragestream/policy/concurrency.py
+++ b/boragestream/policy/concurrency.py
@@ -1,9 +1,10 @@
-"""How many calls an entry may have in progress on one server.
+"""Adaptive limit of the calls that an entry may have in progress on one server.
 
-The limit rises by additive steps while the server keeps its least seen times and
-falls by a factor when it queues. Entries do not know each other's calls: each adapts
-from the times that it measures and from the load that servers report themselves.
-Waiting for a server below its limit is left to ``policy.waiting``.
+The limit increases additively while the server's times stay close to the minimum, and
+decreases multiplicatively when calls queue at the server. Entries do not know each
+other's calls: each entry adapts its limit to the times that it measures and to the load
+that the servers report. Waiting for a server below its limit is left to
+``policy.waiting``.
 """
 
 from boragestream.policy.reports import LoadReport
@@ -11,25 +12,27 @@
 __all__ = ["INITIAL_LIMIT", "is_full", "is_queueing", "next_limit"]
 
 INITIAL_LIMIT = 8.0
-LEAST_LIMIT = 1.0
-GREATEST_LIMIT = 256.0
-DECREASE = 0.8
-# Times vary without any queue; what is slower than this by far is queueing.
+MIN_LIMIT = 1.0
+MAX_LIMIT = 256.0
+DECREASE_FACTOR = 0.8
+# Times vary also without a queue. A call counts as queued only above this multiple of
+# the minimum time plus this many seconds.
 TOLERATED_SLOWDOWN = 2.0
 TOLERATED_SECONDS = 0.01
-# A few calls waiting at the server keep it busy between two answers.
+# Calls in progress per slot. A few calls that wait at the server keep it busy between
+# two answers.
 TOLERATED_QUEUE = 1.5
 
 
 def is_queueing(seconds: float, least: float, report: LoadReport | None) -> bool:
-    """Tell whether calls wait at a server.
+    """Return whether calls queue at a server.
 
-    The server's own report goes before the times, since long answers and a busy
-    entry raise times as well.
+    The server's own report takes precedence over the times, since long answers and a
+    busy entry also increase the times.
 
-    :param seconds: the time of the answered call.
-    :param least: the least time seen for calls of its kind.
-    :param report: the server's report of this moment, None where it gives none.
+    :param seconds: the duration of the answered call.
+    :param least: the minimum duration of calls of its kind.
+    :param report: the server's current report; None if it gives none.
     """
     if report is not None:
         return report.in_progress > report.slots * TOLERATED_QUEUE
@@ -39,20 +42,20 @@
 def next_limit(limit: float, in_progress: int, queueing: bool) -> float:
     """Return the limit after an answer.
 
-    :param in_progress: calls of this entry, the answered one included.
+    :param in_progress: this entry's calls in progress, including the answered one.
     """
     if queueing:
-        return max(LEAST_LIMIT, limit * DECREASE)
+        return max(MIN_LIMIT, limit * DECREASE_FACTOR)
     if in_progress * 2 < limit:
-        # An unused limit is no evidence that a higher one would do.
+        # A limit that is not reached gives no evidence that a higher one would work.
         return limit
-    return min(GREATEST_LIMIT, limit + 1.0 / limit)
+    return min(MAX_LIMIT, limit + 1.0 / limit)
 
 
 def is_full(calls: float, slots: int) -> bool:
-    """Tell whether a server has as many calls of all entries as it shall have.
+    """Return whether a server has reached the most calls allowed for its slots.
 
-    :param calls: the expected calls in progress, of all entries.
-    :param slots: how many calls the server runs at once; 0 for not known.
+    :param calls: the expected number of calls in progress, of all entries.
+    :param slots: the number of calls that the server runs at once; 0 if not known.
     """
     return slots > 0 and calls >= slots * TOLERATED_QUEUE
--- a/boragestream/policy/connection_shares.py
+++ b/boragestream/policy/connection_shares.py
@@ -1,21 +1,21 @@
-"""How many idle connections an entry keeps to one server.
+"""The number of idle connections that an entry keeps to one server.
 
-A server accepts a bounded number of connections from all entries together and resets
-those beyond. A call that may not be repeated is lost with one that is reset, so that
-half of a server's number is left to calls under way.
+A server accepts a limited number of connections from all entries together and resets
+any further ones. A reset loses a call that may not be repeated, so that half of the
+number is reserved for calls in progress.
 """
 
 __all__ = ["idle_connections"]
 
 IDLE_SHARE = 0.5
-MOST_IDLE = 8
+MAX_IDLE = 8
 
 
 def idle_connections(max_connections: int, entries: int) -> int:
-    """Return the most idle connections to one server.
+    """Return the maximum number of idle connections to one server.
 
-    :param max_connections: what a server accepts from all entries.
-    :param entries: the live entries, this one included.
+    :param max_connections: the connections that a server accepts from all entries.
+    :param entries: the number of live entries, including this one.
     """
     share = IDLE_SHARE * max_connections / max(1, entries)
-    return min(MOST_IDLE, int(share))
+    return min(MAX_IDLE, int(share))
--- a/boragestream/policy/easing.py
+++ b/boragestream/policy/easing.py
@@ -1,7 +1,7 @@
-"""Lets the share of a new server grow over some seconds.
+"""Slow start: increases the share of a new server over a few seconds.
 
-A new incarnation has cold caches, and a server back from ejection may fail again;
-neither shall get the calls of all entries at once.
+A new incarnation has empty caches, and a server may fail again after an ejection.
+Neither should get the full number of calls from all entries at once.
 """
 
 __all__ = ["EASE_SECONDS", "eased_limit", "eased_share"]
@@ -11,7 +11,7 @@
 
 
 def eased_share(eased_from: float | None, now: float) -> float:
-    """Return the share of its usual calls that a server shall get, 0.1 to 1.
+    """Return the share of its usual calls that a server should get, from 0.1 to 1.
 
     :param eased_from: when the easing began; None for a server that needs none.
     """
@@ -22,5 +22,5 @@
 
 
 def eased_limit(limit: float, share: float) -> float:
-    """Return the concurrency limit of a server with a share; at least one call."""
+    """Return a server's concurrency limit reduced to its share; at least one call."""
     return max(1.0, limit * share)
--- a/boragestream/policy/hedging.py
+++ b/boragestream/policy/hedging.py
@@ -1,8 +1,9 @@
-"""When a second server is asked although the first has not failed.
+"""Decides when a call is hedged: sent to a second server before the first has failed.
 
-A hedge begins once a call has taken longer than nearly all calls of its kind. It is
-bounded by a share of the requests, less where cost weighs more, and stays away while
-the service has no room to spare. Cancelling the loser is left to ``serving.race``.
+A hedge begins once a call has taken longer than nearly all calls of its kind. Hedges
+are limited to a share of the requests, which decreases with the cost weight, and are
+not sent while the service has no spare capacity. Cancellation of the slower call is
+left to ``serving.race``.
 """
 
 from boragestream.policy.circuits import is_open
@@ -12,36 +13,38 @@
 __all__ = ["has_spare_room", "hedge_delay", "hedge_share"]
 
 HIGH_QUANTILE = 0.95
-# With a straggler among few servers the high quantile is the straggler's own time.
-MOST_MEDIANS = 3.0
-# Where times hardly differ, the high quantile is passed without any straggler, and
-# such hedges would use up the budget before there is one.
-LEAST_MEDIANS = 1.5
-# Below this, a hedge costs about what it could gain.
-LEAST_DELAY_SECONDS = 0.01
+# The maximum delay as a multiple of the median. With a straggler among few servers the
+# high quantile is the straggler's own time.
+MAX_MEDIANS = 3.0
+# The minimum delay as a multiple of the median. If the times hardly differ, calls
+# exceed the high quantile without a straggler, and their hedges would use up the budget
+# before a straggler appears.
+MIN_MEDIANS = 1.5
+# With a shorter delay, the cost of a hedge is about equal to its possible gain.
+MIN_DELAY_SECONDS = 0.01
 
 
 def hedge_delay(times: RecentTimes, kind: str) -> float | None:
-    """Return after how many seconds a call is hedged; None while that is unknown."""
+    """Return the seconds after which a call is hedged; None while they are unknown."""
     high = times.quantile(kind, HIGH_QUANTILE)
     median = times.quantile(kind, 0.5)
     if high is None or median is None:
         return None
-    delay = min(max(high, LEAST_MEDIANS * median), MOST_MEDIANS * median)
-    return max(LEAST_DELAY_SECONDS, delay)
+    delay = min(max(high, MIN_MEDIANS * median), MAX_MEDIANS * median)
+    return max(MIN_DELAY_SECONDS, delay)
 
 
 def hedge_share(share: float, cost_weight: float) -> float:
-    """Return hedges for each request that may be made.
+    """Return the allowed number of hedges per request.
 
     :param share: the share that the document allows.
-    :param cost_weight: 0 spends the whole share, 1 spends nothing.
+    :param cost_weight: 0 allows the whole share, 1 allows no hedges.
     """
     return share * (1.0 - cost_weight)
 
 
 def has_spare_room(load: ServerLoad, now: float) -> bool:
-    """Tell whether a hedge on a server would take nothing from other calls."""
+    """Return whether a hedge on a server would take no capacity from other calls."""
     if is_open(load.circuit, now):
         return False
     return load.calls(now) < load.slots()
--- a/boragestream/policy/leaving.py
+++ b/boragestream/policy/leaving.py
@@ -1,7 +1,8 @@
-"""Backend servers that said themselves that they are leaving, as entries tell it on.
+"""The table of leaving backend servers that entries exchange.
 
-The word holds for one incarnation and is final, so that merging is a union. What an
-entry makes of it is left to ``policy.servers``.
+A server's statement that it is leaving applies to one incarnation and is final, so that
+tables are merged by union. The effect on the choice of servers is left to
+``policy.servers``.
 """
 
 from dataclasses import dataclass
@@ -24,7 +25,7 @@
 
     @property
     def key(self) -> str:
-        """What changes when an instance is replaced."""
+        """The key of this incarnation; it changes when an instance is replaced."""
         return f"{self.name} {self.host} {self.incarnation}"
 
 
--- a/boragestream/policy/server_limits.py
+++ b/boragestream/policy/server_limits.py
@@ -50,7 +50,8 @@
 WINDOW_SECONDS = 4.0
 FACTOR = 1.5
 SLACK = 5.0
-VIEWS = 2
+# A network partition can divide the entries into this many groups.
+PARTITIONS = 2
 # A larger burst would reach an overloaded server as one simultaneous load.
 MAX_BURST = 3.0
 # The longest time from the start of a permit to the first byte of its request.
@@ -75,11 +76,11 @@
     bound = FACTOR * WINDOW_SECONDS * limit + SLACK
     seconds = WINDOW_SECONDS + PERMIT_SECONDS
     if standing is Standing.DIVIDED:
-        rate = (bound / VIEWS - 1) / seconds
+        rate = (bound / PARTITIONS - 1) / seconds
         return Pace(max(MIN_RATE, min(limit, rate)), 1.0)
     first_rate = max(MIN_RATE, limit)
     remainder = bound - seconds * first_rate
-    burst = min(MAX_BURST, max(1.0, remainder / VIEWS))
+    burst = min(MAX_BURST, max(1.0, remainder / PARTITIONS))
     if standing is Standing.FIRST:
         return Pace(first_rate, burst)
     rate = (remainder - burst - 1) / seconds
--- a/boragestream/policy/shares.py
+++ b/boragestream/policy/shares.py
@@ -1,26 +1,26 @@
-"""How a limit over all entries is split into a share for each.
+"""Splits a limit over all entries into a share for each entry.
 
 Every entry computes the same split from the same reports. An entry lowers its share at
-once; it raises it only into what the others report to hold no more, so that no report
-has to arrive at the same time as another for the sum to stay within the limit.
+once, but raises it only by the amount that the other entries report as released. The
+sum thus stays within the limit even if the reports arrive at different times.
 """
 
 from collections.abc import Mapping
 
 __all__ = ["next_share", "split", "split_whole"]
 
-# Entries without demand keep this part of a limit, so that a first request somewhere
-# need not wait for the next reports.
+# This part of a limit is split evenly also to entries without demand, so that the first
+# request at an entry need not wait for the next reports.
 IDLE_PART = 0.1
 
 
 def split(limit: float, demands: Mapping[str, float]) -> dict[str, float]:
     """Return each entry's share; the shares add up to the limit.
 
-    What is not asked for is split evenly; where more is asked for than there is, the
-    shares follow the demand.
+    If the demands fit into the limit, the rest is split evenly; otherwise the shares
+    follow the demands.
 
-    :param demands: by entry, in the unit of the limit.
+    :param demands: the demand of each entry, in the unit of the limit.
     """
     count = len(demands)
     total = sum(demands.values())
@@ -33,12 +33,12 @@
 
 
 def split_whole(limit: int, demands: Mapping[str, float]) -> dict[str, int]:
-    """Return each entry's share in whole numbers; they add up to the limit."""
+    """Return each entry's share as a whole number; the shares add up to the limit."""
     exact = split(limit, demands)
     shares = {name: int(share) for name, share in exact.items()}
-    left = limit - sum(shares.values())
-    by_rest = sorted(exact, key=lambda n: (shares[n] - exact[n], -demands[n], n))
-    for name in by_rest[:left]:
+    remaining = limit - sum(shares.values())
+    by_remainder = sorted(exact, key=lambda n: (shares[n] - exact[n], -demands[n], n))
+    for name in by_remainder[:remaining]:
         shares[name] += 1
     return shares
 
@@ -46,10 +46,11 @@
 def next_share(
     limit: float, target: float, current: float, held_by_others: float
 ) -> float:
-    """Return the share to hold from now on.
+    """Return the share that this entry may hold from now on.
 
-    :param target: this entry's part of the split.
-    :param held_by_others: what the other entries last reported to hold.
+    :param target: this entry's share of the split.
+    :param current: the share that this entry holds now.
+    :param held_by_others: the sum of the shares last reported by the other entries.
     """
     if target <= current:
         return target
--- a/boragestream/policy/slot_shares.py
+++ b/boragestream/policy/slot_shares.py
@@ -1,11 +1,11 @@
 """This entry's share of the slots that a service's servers report.
 
-A window that opens by completions alone takes many lifetimes of a request to open,
-while servers say with each answer how many calls they run at once. The share is the
-mean of the reported slots, times the live servers, over the live entries; a server with
-a limit counts with the calls that it can have in hand. All entries work it out alike,
-so that their shares add up to the slots. What is begun with it is left to
-``policy.service_window``.
+A window that grows only with completed calls needs many times the duration of a request
+to grow, whereas servers report with each answer how many calls they run at once. The
+share is the mean of the reported slots, times the number of live servers, divided by
+the number of live entries; a server with a limit counts with the calls that it can have
+in progress. All entries compute the share in the same way, so that the shares add up to
+the slots. The use of the share is left to ``policy.service_window``.
 """
 
 import math
@@ -18,19 +18,18 @@
 
 __all__ = ["SlotShares"]
 
-# A service may have hundreds of servers; to count them for every request would cost
-# more than the answer is worth.
+# A service may have hundreds of servers, which is too many to count for every request.
 CACHE_SECONDS = 1.0
-# Of a call of a server that was not called yet.
-USUAL_SECONDS = 1.0
+# The assumed duration of a call on a server that was not called yet.
+DEFAULT_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """A share as it was worked out.
+class _CachedShare:
+    """A computed share.
 
-    :ivar slots: the share in calls; 0 where no server has reported.
-    :ivar until: until when it is used.
+    :ivar slots: the share in calls; 0 if no server has reported.
+    :ivar until: when the share expires, in the clock's seconds.
     """
 
     slots: float
@@ -38,10 +37,10 @@
 
 
 class SlotShares:
-    """The shares by service; any thread may ask.
+    """The shares by service; safe to use from any thread.
 
-    :param entries: returns how many entries are live, this one included.
-    :param rate: returns the calls a second that a server can be sent.
+    :param entries: returns the number of live entries, including this one.
+    :param rate: returns the most calls a second to a server.
     """
 
     def __init__(
@@ -57,41 +56,43 @@
         self._entries = entries
         self._clock = clock
         self._rate = rate
-        self._known: dict[str, Known] = {}
+        self._cache: dict[str, _CachedShare] = {}
 
     def share(self, service: str) -> float:
-        """Return this entry's share in calls; 0 where no server has reported."""
+        """Return this entry's share in calls; 0 if no server has reported."""
         now = self._clock.now()
-        known = self._known.get(service)
-        if known is None or now >= known.until:
-            known = Known(self._work_out(service), now + CACHE_SECONDS)
-            self._known[service] = known
-        return known.slots
+        cached = self._cache.get(service)
+        if cached is None or now >= cached.until:
+            cached = _CachedShare(self._compute(service), now + CACHE_SECONDS)
+            self._cache[service] = cached
+        return cached.slots
 
     def note_reported(self, service: str) -> bool:
-        """Take that a server reported for the first time.
+        """Invalidate a share that was cached before any server had reported.
 
-        :returns: whether the service's share was not known before.
+        Call it when a server has reported for the first time.
+
+        :returns: whether there was such a share.
         """
-        known = self._known.get(service)
-        if known is None or known.slots:
+        cached = self._cache.get(service)
+        if cached is None or cached.slots:
             return False
-        self._known.pop(service, None)
+        self._cache.pop(service, None)
         return True
 
-    def _work_out(self, service: str) -> float:
+    def _compute(self, service: str) -> float:
         servers = self._servers.live(service)
         reports = [self._loads.get(server).report for server in servers]
         slots = [report.slots for report in reports if report is not None]
         if not slots:
             return 0.0
         mean = sum(slots) / len(slots)
-        usable = sum(min(mean, self._calls_at_once(server)) for server in servers)
+        usable = sum(min(mean, self._max_calls(server)) for server in servers)
         return usable / max(1, self._entries())
 
-    def _calls_at_once(self, server: Server) -> float:
-        """Return how many calls a server with a limit can have in hand."""
+    def _max_calls(self, server: Server) -> float:
+        """Return the calls in progress that a server's limit permits, or infinity."""
         rate = self._rate(server)
         if math.isinf(rate):
             return math.inf
-        return rate * (self._loads.get(server).seconds or USUAL_SECONDS)
+        return rate * (self._loads.get(server).seconds or DEFAULT_SECONDS)
--- a/boragestream/policy/token_bucket.py
+++ b/boragestream/policy/token_bucket.py
@@ -6,9 +6,9 @@
 
 
 class TokenBucket:
-    """Tokens that fill up with time; not safe without its owner's lock.
+    """A token bucket; not thread-safe: the caller holds a lock.
 
-    It holds what a second brings, at the least one token.
+    Its capacity is the number of tokens added in a second, but at least one token.
     """
 
     def __init__(self, now: float) -> None:
@@ -18,17 +18,17 @@
 
     @property
     def rate(self) -> float:
-        """Tokens in a second."""
+        """The tokens added in a second."""
         return self._rate
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Change the rate; what is there beyond the new size is lost."""
+        """Change the rate; tokens beyond the new capacity are discarded."""
         self._fill(now)
         self._rate = rate
-        self._tokens = min(self._tokens, self._size())
+        self._tokens = min(self._tokens, self._capacity())
 
     def take(self, now: float) -> bool:
-        """Take a token where there is one."""
+        """Take a token if there is one; return whether there was."""
         self._fill(now)
         if self._tokens < 1:
             return False
@@ -36,18 +36,18 @@
         return True
 
     def put_back(self) -> None:
-        """Return a token that was not used."""
-        self._tokens = min(self._size(), self._tokens + 1)
+        """Put an unused token back."""
+        self._tokens = min(self._capacity(), self._tokens + 1)
 
     def seconds_to_next(self) -> float:
-        """Return the seconds until a token is there; infinite without a rate."""
+        """Return the seconds until there is a token; infinite if the rate is 0."""
         missing = max(0.0, 1 - self._tokens)
         return missing / self._rate if self._rate > 0 else float("inf")
 
     def _fill(self, now: float) -> None:
         gained = (now - self._filled_at) * self._rate
-        self._tokens = min(self._size(), self._tokens + max(0.0, gained))
+        self._tokens = min(self._capacity(), self._tokens + max(0.0, gained))
         self._filled_at = now
 
-    def _size(self) -> float:
+    def _capacity(self) -> float:
         return max(1.0, self._rate * BURST_SECONDS)
