--- a/boragestream/policy/cold_servers.py
+++ b/boragestream/policy/cold_servers.py
@@ -11,13 +11,13 @@
 A cold server gets no request while the service has a warm one. If none is warm, each
 cold server may be used by a few entries, its senders, which all entries select in the
 same way from the live entries that they know. Without senders, 74 entries that send one
-request each in the same second would exceed a bound of 38. For a bound of ``most``
-arrivals in any second: a sender has a token bucket with a capacity of one request,
-refilled at ``rate``, and thus sends at most ``1 + rate`` requests in a second. With
-``SENDERS`` senders in each of ``PARTITIONS`` groups of entries,
-``PARTITIONS * SENDERS * (1 + rate) <= most`` must hold. An entry that has not yet
-agreed with others on the live entries uses no cold server, however many entries start
-at once.
+request each in the same second would exceed a bound of 38. The bound is
+``max_per_second`` arrivals in any second. A sender has a token bucket with a capacity
+of one request, refilled at ``rate``, and thus sends at most ``1 + rate`` requests in a
+second. With ``SENDERS`` senders in each of ``PARTITIONS`` groups of entries,
+``PARTITIONS * SENDERS * (1 + rate) <= max_per_second`` must hold. An entry that has not
+yet agreed with others on the live entries uses no cold server, however many entries
+start at once.
 
 A server's published record states for how long it stays cold. The time counts from the
 moment at which this entry learns of it, so that it ends too late rather than too early.
@@ -55,12 +55,12 @@
     """The load that a cold server tolerates, from all entries together.
 
     :ivar rate: the sustained requests a second while the server is cold.
-    :ivar most: the maximum number of arrivals in any one second.
+    :ivar max_per_second: the maximum number of arrivals in any one second.
     :ivar seconds: for how long a server is cold after its start.
     """
 
     rate: float
-    most: float
+    max_per_second: float
     seconds: float
 
 
@@ -70,10 +70,10 @@
     :returns: the number, 0 if not even one sender keeps the bound, and the rate in
         requests a second.
     """
-    count = min(SENDERS, int(bound.most / (PARTITIONS * BURST)))
+    count = min(SENDERS, int(bound.max_per_second / (PARTITIONS * BURST)))
     if count == 0:
         return 0, 0.0
-    max_rate = bound.most / (PARTITIONS * count) - BURST
+    max_rate = bound.max_per_second / (PARTITIONS * count) - BURST
     return count, min(max_rate, bound.rate / count)
 
 
--- a/boragestream/policy/load.py
+++ b/boragestream/policy/load.py
@@ -125,7 +125,7 @@
         self._loads: dict[tuple[str, str, str], ServerLoad] = {}
         self._lock = threading.Lock()
         self._regions: dict[str, str] = {}
-        self._listed = False
+        self._has_list = False
         self._numbers = itertools.count()
         self._first_report: Callable[[str], None] = lambda service: None
 
@@ -149,12 +149,12 @@
             for server in servers:
                 regions[server.data_centre] = server.region
                 load = self._loads.get(server.identity) or ServerLoad()
-                if self._listed and server.identity not in self._loads:
+                if self._has_list and server.identity not in self._loads:
                     load.eased_from = now
                 kept[server.identity] = load
             self._loads = kept
             self._regions = regions
-            self._listed = True
+            self._has_list = True
 
     def region_of(self, data_centre: str) -> str:
         """Return the region of a data centre; empty if it is not known."""
--- a/boragestream/policy/permit_schedule.py
+++ b/boragestream/policy/permit_schedule.py
@@ -62,7 +62,7 @@
         self._arrival_time = start + 1 / self.pace.per_second
         return moment
 
-    def give_back(self, moment: float) -> None:
+    def release(self, moment: float) -> None:
         """Return an unused permit to the schedule.
 
         A permit from before the last idle time has no effect: the rate has already
--- a/boragestream/policy/server_choice.py
+++ b/boragestream/policy/server_choice.py
@@ -45,7 +45,7 @@
 BYTES_PER_TOKEN = 1_200
 # First attempts avoid servers that failed recently. Limits that depend on queueing are
 # disabled, since the lengths of streams differ by far more than any queueing time.
-DISABLED_MECHANISMS = ("concurrency-limit", "easing", "load-reports")
+WITHOUT = ("concurrency-limit", "easing", "load-reports")
 
 
 class OpenCalls:
@@ -118,7 +118,7 @@
         return min(usable, key=self._work)
 
     def _usable(self, servers: Sequence[Server], avoid: frozenset[str]) -> list[Server]:
-        need = RoutingNeed(avoid=avoid, without=DISABLED_MECHANISMS)
+        need = RoutingNeed(avoid=avoid, without=WITHOUT)
         return usable_servers(servers, self.loads, need, self.clock.now())
 
     def _work(self, server: Server) -> tuple[float, int]:
--- a/boragestream/policy/server_limits.py
+++ b/boragestream/policy/server_limits.py
@@ -60,7 +60,7 @@
 # detect that its limit has ended.
 MIN_RATE = 0.25
 # A server is sent a request if no permit for it was granted for this long.
-UNASKED_SECONDS = 4.0
+IDLE_SECONDS = 4.0
 # Limits whose relative difference is at most this count as equal.
 LIMIT_TOLERANCE = 0.05
 # A server keeps its limit if a list omits it by mistake for less than this time.
@@ -97,7 +97,7 @@
         self, clock: Clock, changed: Callable[[], None] = lambda: None
     ) -> None:
         self._clock = clock
-        self._changed = changed
+        self._on_change = changed
         self._table = GossipTable[LimitRecord](lambda r: r.server.hex(), prevailing)
         # Current limits in requests a second by server key. The second dictionary holds
         # those of listed servers by identity, which is faster to look up: each choice
@@ -149,9 +149,9 @@
         return unlimited, [server for server in servers if server.identity in limits]
 
     def is_unasked(self, server: Server) -> bool:
-        """Return whether this entry granted no permit in ``UNASKED_SECONDS``."""
+        """Return whether this entry granted no permit in ``IDLE_SECONDS``."""
         granted_at = self._granted_at.get(server_key(server), -math.inf)
-        return self._clock.now() - granted_at >= UNASKED_SECONDS
+        return self._clock.now() - granted_at >= IDLE_SECONDS
 
     def seconds_left(self, server: Server) -> float:
         """Return the seconds until a permit is free, as far as this entry knows."""
@@ -214,7 +214,7 @@
                 self._limits[key] = limit
             self._index()
             server = self._servers.get(key)
-        self._changed()
+        self._on_change()
         before = known.per_second if known is not None else None
         name = server.name if server is not None else ""
         return LimitChange(name, before, record.per_second)
@@ -258,7 +258,7 @@
         with self._lock:
             schedule = self._schedules.get(key)
             if schedule is not None:
-                schedule.give_back(moment)
+                schedule.release(moment)
 
     def take_list(self, servers: Iterable[Server]) -> None:
         """Record the listed servers, before they are used.
--- a/boragestream/policy/servers.py
+++ b/boragestream/policy/servers.py
@@ -68,9 +68,9 @@
         left: Callable[[Server], None] = lambda server: None,
         awaits_orders: bool = False,
     ) -> None:
-        self._left = left
+        self._on_leaving = left
         self._awaits_orders = awaits_orders
-        self._unused: Callable[[str], None] = lambda host: None
+        self._on_unused: Callable[[str], None] = lambda host: None
         self._by_service: dict[str, tuple[Server, ...]] = {}
         # A dictionary for its insertion order: the oldest is removed first.
         self._leaving: dict[tuple[str, str, str], None] = {}
@@ -108,7 +108,7 @@
 
     def when_unused(self, unused: Callable[[str], None]) -> None:
         """Set the callback for the host of each server that is no longer used."""
-        self._unused = unused
+        self._on_unused = unused
 
     def take_list(self, listed: Iterable[Server]) -> None:
         """Replace the listed servers with a published instance list."""
@@ -134,7 +134,7 @@
         """Record a server's own statement that it is leaving; False if known before."""
         if not self.take_notice(server.identity):
             return False
-        self._left(server)
+        self._on_leaving(server)
         return True
 
     def take_notice(self, identity: tuple[str, str, str]) -> bool:
@@ -190,4 +190,4 @@
 
     def _report_unused(self, hosts: set[str]) -> None:
         for host in hosts:
-            self._unused(host)
+            self._on_unused(host)
