--- a/boragestream/policy/connection_shares.py
+++ b/boragestream/policy/connection_shares.py
@@ -1,8 +1,8 @@
 """The number of idle connections that an entry keeps to one server.
 
 A server accepts a limited number of connections from all entries together and resets
-any further ones. A reset loses a call that may not be repeated, so that half of the
-number is reserved for calls in progress.
+any further ones. If a call may not be repeated, it is lost with a reset connection.
+Therefore half of a server's connections are reserved for calls in progress.
 """
 
 __all__ = ["idle_connections"]
--- a/boragestream/policy/granters.py
+++ b/boragestream/policy/granters.py
@@ -69,7 +69,7 @@
         return len(self._entries)
 
     def look_again(self) -> None:
-        """Refresh the live entries; call it regularly, also without any look-up."""
+        """Update the live entries; called periodically, even without look-ups."""
         with self._lock:
             self._refresh()
 
--- a/boragestream/policy/load.py
+++ b/boragestream/policy/load.py
@@ -32,9 +32,9 @@
 # usual one, so that a straggler is detected before it has delayed many calls.
 SLOW_FACTOR = 2.0
 SLOW_SMOOTHING = 0.5
-# Older measurements are ignored. Each time that an expired measurement is confirmed by
-# a new one, the period is doubled up to the maximum, so that a permanent straggler is
-# probed less and less often.
+# The weight of a measurement falls to 0 within this time. Each time that a new one
+# confirms a faded one, the time is doubled up to the maximum, so that a permanent
+# straggler is probed less and less often.
 FORGET_SECONDS = 3.0
 MAX_FORGET_SECONDS = 24.0
 UNCHANGED_SHARE = 0.5
@@ -60,7 +60,7 @@
     :ivar open_calls: the start times of this entry's open calls, by call number.
     :ivar seconds: the smoothed time of a call; 0 before the first.
     :ivar seconds_at: when ``seconds`` was last measured.
-    :ivar forget_seconds: the age at which a measurement expires.
+    :ivar forget_seconds: the age at which a measurement has no weight any more.
     :ivar min_seconds: the minimum time, by kind of call.
     :ivar report: the server's last report; None before the first.
     :ivar report_at: when the report arrived.
@@ -244,7 +244,7 @@
 
 
 def _smooth(load: ServerLoad, seconds: float, now: float) -> None:
-    """Add a measurement to the smoothed time; its weight grows with the time's age."""
+    """Update the smoothed time; the older it is, the more the new time weighs."""
     previous = load.seconds or seconds
     decay = min(1.0, (now - load.seconds_at) / load.forget_seconds)
     if seconds < UNCHANGED_SHARE * previous:
--- a/boragestream/policy/routing.py
+++ b/boragestream/policy/routing.py
@@ -187,7 +187,7 @@
 
 
 def _usual_seconds(loads: list[ServerLoad]) -> float:
-    """Return the lower median time, so that a straggler of two does not define it."""
+    """Return the lower median, so that a straggler of two servers does not raise it."""
     measured = sorted(load.seconds for load in loads if load.seconds)
     usual = measured[(len(measured) - 1) // 2] if measured else 0.0
     return max(usual, MIN_SECONDS)
--- a/boragestream/policy/server_backoffs.py
+++ b/boragestream/policy/server_backoffs.py
@@ -31,10 +31,7 @@
 
 
 class ServerBackoffs:
-    """The servers that this entry must not call yet, each with the end of its back-off.
-
-    Safe to use from any thread.
-    """
+    """The ends of the back-offs that servers stated to this entry."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
--- a/boragestream/policy/shares.py
+++ b/boragestream/policy/shares.py
@@ -1,16 +1,17 @@
 """Splits a limit over all entries into a share for each entry.
 
 Every entry computes the same split from the same reports. An entry lowers its share at
-once, but raises it only by the amount that the other entries report as released. The
-sum thus stays within the limit even if the reports arrive at different times.
+once, but raises it only into the part of the limit that no other entry reports to hold.
+The sum thus stays within the limit even if the reports arrive at different times.
 """
 
 from collections.abc import Mapping
 
 __all__ = ["next_share", "split", "split_whole"]
 
-# This part of a limit is split evenly also to entries without demand, so that the first
-# request at an entry need not wait for the next reports.
+# If the demand exceeds the limit, this part of the limit is split evenly over all
+# entries, so that a first request at an entry without demand need not wait for the next
+# reports.
 IDLE_PART = 0.1
 
 
--- a/tests/features/steps/cold_servers.py
+++ b/tests/features/steps/cold_servers.py
@@ -1,4 +1,4 @@
-"""Steps on servers that have just started, without a process."""
+"""Steps on cold servers, simulated without processes."""
 
 import random
 from collections import deque
@@ -18,18 +18,19 @@
 
 
 class Fleet:
-    """Entries before cold servers."""
+    """Simulated entries that send requests to cold servers."""
 
     def __init__(self, count, bound):
-        """Make the entries, which all know one another."""
+        """Create the entries, each with all others in its set of live entries."""
         self.clock = SetClock()
         self.rng = random.Random(1)
         self.bound = bound
         self.names = [f"10.0.{n // 250}.{n % 250}:8741" for n in range(count)]
-        # By entry whom it knows, and whether it agrees with others on that.
+        # The live entries known to each entry, and whether it agrees with others on
+        # them.
         self.known = dict.fromkeys(self.names, self.names)
         self.agreed = dict.fromkeys(self.names, True)
-        self.cold = {name: self.cold_of(name) for name in self.names}
+        self.cold = {name: self.new_cold_servers(name) for name in self.names}
         self.servers = [
             Server(
                 f"s-{n}", SERVICE, f"10.1.0.{n}:80", "hall", f"{n}", cold_seconds=3.0
@@ -37,11 +38,11 @@
             for n in range(9)
         ]
         self.arrivals = {server.name: [] for server in self.servers}
-        self.turned_away = 0
-        self.tell()
+        self.rejected = 0
+        self.announce()
 
-    def cold_of(self, name):
-        """Return what an entry that starts knows of cold servers: nothing."""
+    def new_cold_servers(self, name):
+        """Return the cold servers of an entry that starts: an empty table."""
         return ColdServers(
             name,
             lambda service: self.bound,
@@ -50,57 +51,61 @@
             self.clock,
         )
 
-    def tell(self):
-        """Have all entries hear that the servers are cold."""
+    def announce(self):
+        """Inform all entries that the servers are cold."""
         for cold in self.cold.values():
             for server in self.servers:
                 cold.take(server)
 
-    def starts_again(self, name):
-        """Have an entry start again, which reads that the servers are cold."""
-        self.cold[name] = self.cold_of(name)
+    def restart(self, name):
+        """Restart an entry, which then reads that the servers are cold."""
+        self.cold[name] = self.new_cold_servers(name)
         for server in self.servers:
             self.cold[name].take(server)
 
-    def give(self, name):
-        """Give an entry a request."""
+    def request(self, name):
+        """Send a request to an entry, which routes it to a server or rejects it."""
         usable = self.cold[name].usable(self.servers)
         server = self.rng.choice(usable) if usable else None
         if server is None or not self.cold[name].admit(server):
-            self.turned_away += 1
+            self.rejected += 1
             return
         self.arrivals[server.name].append(self.clock.now())
 
-    def most(self):
-        """Return the most requests that one server got in any second."""
-        most = 0
+    def max_in_a_second(self):
+        """Return the maximum number of requests to one server in any second."""
+        maximum = 0
         for times in self.arrivals.values():
             within = deque()
             for at in times:
                 within.append(at)
                 while within[0] <= at - 1.0:
                     within.popleft()
-                most = max(most, len(within))
-        return most
+                maximum = max(maximum, len(within))
+        return maximum
 
 
 def run(fleet, rate, seconds, restart_gap=None):
-    """Give each entry requests at random moments."""
+    """Send requests to each entry at random times.
+
+    :param rate: the requests a second to each entry.
+    :param restart_gap: the seconds between restarts of an entry; None for no restarts.
+    """
     ticks = round(seconds / TICK_SECONDS)
     restart_at, number = 0.0, 0
     for tick in range(ticks):
         fleet.clock.seconds += TICK_SECONDS
         for name in fleet.names:
             if fleet.rng.random() < rate * TICK_SECONDS:
-                fleet.give(name)
+                fleet.request(name)
         if restart_gap is not None and tick * TICK_SECONDS >= restart_at:
             restart_at += restart_gap
-            fleet.starts_again(fleet.names[number % len(fleet.names)])
+            fleet.restart(fleet.names[number % len(fleet.names)])
             number += 1
 
 
-def bound_of(rate, slack=SLACK):
-    """Return the bound of a service."""
+def new_bound(rate, slack=SLACK):
+    """Return the bound of a service's cold servers."""
     return ColdBound(rate, rate * FACTOR + slack, COLD_SECONDS)
 
 
@@ -108,7 +113,7 @@
     "{count:d} entries before 9 cold servers that tolerate {rate:g} requests a second"
 )
 def step(context, count, rate):
-    context.fleet = Fleet(count, bound_of(rate))
+    context.fleet = Fleet(count, new_bound(rate))
 
 
 @given(
@@ -116,7 +121,7 @@
     "with no slack"
 )
 def step(context, count, rate):
-    context.fleet = Fleet(count, bound_of(rate, 0.0))
+    context.fleet = Fleet(count, new_bound(rate, 0.0))
 
 
 @given("{count:d} entries before 9 cold servers, and {lacking}")
@@ -169,7 +174,7 @@
 @then("no cold server gets more than {most:g} requests in any second")
 def step(context, most):
     context.fleet.arrivals.pop("warm", None)
-    assert context.fleet.most() <= most, context.fleet.most()
+    assert context.fleet.max_in_a_second() <= most, context.fleet.max_in_a_second()
 
 
 @then("each of them gets some")
@@ -179,17 +184,17 @@
 
 @then("some server gets more than {least:g} requests in a second")
 def step(context, least):
-    assert context.fleet.most() > least, context.fleet.most()
+    assert context.fleet.max_in_a_second() > least, context.fleet.max_in_a_second()
 
 
 @then("no request is turned away")
 def step(context):
-    assert not context.fleet.turned_away
+    assert not context.fleet.rejected
 
 
 @given("{count:d} entries before servers that say that they are warm")
 def step(context, count):
-    context.fleet = Fleet(count, bound_of(22.0))
+    context.fleet = Fleet(count, new_bound(22.0))
     context.fleet.clock.seconds += COLD_SECONDS
     table = ServerTable()
     table.take_list(context.fleet.servers)
--- a/tests/features/steps/drained_centres.py
+++ b/tests/features/steps/drained_centres.py
@@ -1,4 +1,4 @@
-"""Steps on drained data centres, without a process."""
+"""Steps on drained data centres, simulated without processes."""
 
 import random
 
@@ -84,7 +84,7 @@
 
 
 def mixed_tables(steps, rng):
-    """Let three tables meet a store and one another; compare them with the store."""
+    """Update three tables from a store and one another; compare them with the store."""
     clock = SetClock()
     tables = [OperatorTable(clock.now, PREFIX) for _ in range(3)]
     truth = {1: frozenset()}
@@ -110,9 +110,9 @@
             changes = tuple(c for c in history if c.revision > after)
             table.take(Changes(newest, changes))
         elif move == "word":
-            hear(table, other.drained(), other.configuration_revision)
+            relay(table, other.drained(), other.configuration_revision)
         else:
-            hear(table, old, 0)
+            relay(table, old, 0)
             old = other.drained()
         for one in tables:
             revision, keys = one.drained()
@@ -120,8 +120,8 @@
             assert one.revision <= revision
 
 
-def hear(table, drained, configuration_revision):
-    """Have a table take what another entry tells."""
+def relay(table, drained, configuration_revision):
+    """Update a table with the drained data centres that another entry relays."""
     revision, keys = drained
     changes = tuple(Change(key, revision, b"") for key in keys)
     table.take_relayed(Relayed(None, revision, changes, {}))
@@ -141,10 +141,10 @@
     context.cold = ColdServers(
         "e", lambda service: None, lambda server: ["e"], lambda: True, clock
     )
-    context.used_then = None
+    context.usable_at_decoding = None
     context.batches = None
     context.operators = OperatorValues(
-        lambda text: take_text(context),
+        lambda text: record_usable(context),
         context.servers,
         context.cold,
         lambda: context.batches and context.batches.look_again(),
@@ -165,16 +165,16 @@
 
 @when('the first word of orders comes from {source}, and drains "{centre}"')
 def step(context, source, centre):
-    first_word(context, source, [f"{PREFIX}{centre}"])
+    take_first_orders(context, source, [f"{PREFIX}{centre}"])
 
 
 @when('the first word of orders comes from {source}, and drains ""')
 def step(context, source):
-    first_word(context, source, [])
+    take_first_orders(context, source, [])
 
 
-def first_word(context, source, keys):
-    """Have a table take a first word, and the entry what follows from it."""
+def take_first_orders(context, source, keys):
+    """Put the first drain orders into a table, and its values into the entry."""
     table = OperatorTable(context.clock.now, PREFIX)
     if source == "the platform":
         answer = Snapshot(7, {"op/config": b"{}", **dict.fromkeys(keys, b"{}")})
@@ -190,13 +190,13 @@
     assert not context.lines.of(DRAINED_EVENT)
 
 
-def take_text(context):
-    """Note which servers are to be used as a configuration is decoded."""
-    context.used_then = used(context)
+def record_usable(context):
+    """Record which servers are usable when a configuration is decoded."""
+    context.usable_at_decoding = usable_centres(context)
 
 
-def used(context):
-    """Return the data centres of the servers to be used."""
+def usable_centres(context):
+    """Return the data centres of the usable servers."""
     return {server.data_centre for server in context.servers.live(SERVICE)}
 
 
@@ -207,7 +207,7 @@
 
 @then('only servers in "{centre}" were to be used when the configuration was decoded')
 def step(context, centre):
-    assert context.used_then == {centre}
+    assert context.usable_at_decoding == {centre}
 
 
 @when('the keys "{keys}" are published')
@@ -222,12 +222,12 @@
 
 @then('servers in "{centres}" are to be used')
 def step(context, centres):
-    assert used(context) == set(centres.split(","))
+    assert usable_centres(context) == set(centres.split(","))
 
 
 @then('servers in "" are to be used')
 def step(context):
-    assert not used(context)
+    assert not usable_centres(context)
 
 
 @then(
@@ -251,7 +251,7 @@
 
 
 def check_line(context, drained, unknown, malformed):
-    """Check the one line on drained data centres."""
+    """Check the fields of the single log line on drained data centres."""
     (line,) = context.lines.of(DRAINED_EVENT)
     assert line["drained"] == drained and line["added"] == drained, line
     assert line["without_servers"] == unknown, line
@@ -269,10 +269,10 @@
     """Calls of stage servers that are never answered."""
 
     def submit(self, work, *arguments):
-        """Take a call."""
+        """Accept a call and do nothing."""
 
     def look_again(self):
-        """Look for overdue calls; there are none."""
+        """Check for overdue calls; there are none."""
 
 
 @given(
@@ -289,7 +289,7 @@
 
 
 def order(name, pieces, invested=False):
-    """Return an order."""
+    """Return an order of some pieces."""
     made = tuple(Piece(name, 0, n, "key", ()) for n in range(pieces))
     return PieceOrder(f"{name}/0", SERVICE, made, 1.0, 0, invested)
 
@@ -307,31 +307,31 @@
         assert wait == float("inf"), wait
 
 
-def expected(context):
-    """Return the wait that an order is told which cannot be met."""
+def expected_wait(context):
+    """Return the wait reported for an order that can't be met."""
     return context.batches.submit(order(f"o-{random.random()}", 1), 9.5, 9.5)
 
 
 @then("an order would wait for some time")
 def step(context):
-    context.wait = expected(context)
+    context.wait = expected_wait(context)
     assert context.wait > 0
 
 
 @then("an order would wait for twice that time")
 def step(context):
-    assert abs(expected(context) - 2 * context.wait) < 1e-9
+    assert abs(expected_wait(context) - 2 * context.wait) < 1e-9
 
 
 class Ages:
-    """Notes the ages that are taken."""
+    """Records the ages that the relay passes on."""
 
     def __init__(self):
-        """Begin with none."""
+        """Create the recorder without any ages."""
         self.taken = []
 
     def take_notice(self, age, trouble=None):
-        """Take an age."""
+        """Record an age."""
         self.taken.append(age)
 
 
--- a/tests/features/steps/limits_over_entries.py
+++ b/tests/features/steps/limits_over_entries.py
@@ -1,4 +1,4 @@
-"""Steps on limits of servers that hold over many entries, without a process."""
+"""Steps on server limits over many entries, simulated without processes."""
 
 from behave import given, then, when
 
@@ -10,7 +10,7 @@
 from tests.standins.limits import lone_limits
 
 SERVER = Server("s-1", "engine", "10.9.0.1:80", "hall", "1")
-# The limits are known to all by then.
+# After this time all entries know the limits.
 SETTLED_SECONDS = 3.0
 SUSPENDED_SECONDS = 1.5
 LOST_SHARE = 0.2
@@ -38,7 +38,7 @@
     for number, name in enumerate(names if count else []):
         known = names[:count] if number < count else names[count:]
         context.crowd.entries[name].known = known
-        # The others are silent for it.
+        # The entry gets no answers from the others.
         context.crowd.entries[name].divided = True
 
 
@@ -49,7 +49,7 @@
         others = [other for other in crowd.names() if other != name]
         known = crowd.rng.sample(others, len(others) - missed)
         entry.known = [name, *known]
-        # Their address books differ.
+        # The address books of the entries differ.
         entry.divided = True
 
 
--- a/tests/features/steps/load_gone.py
+++ b/tests/features/steps/load_gone.py
@@ -1,4 +1,4 @@
-"""Steps on what measured times say once a load has gone, or never got through."""
+"""Steps on measured times and service windows during and after an overload."""
 
 from dataclasses import replace
 
@@ -37,16 +37,16 @@
 
 @given("a request that is under way with {left:g} seconds left")
 def step(context, left):
-    under_way(context, left, without=())
+    begin_request(context, left, without=())
 
 
 @given("a request without admission that is under way with {left:g} seconds left")
 def step(context, left):
-    under_way(context, left, without=("admission",))
+    begin_request(context, left, without=("admission",))
 
 
-def under_way(context, left, without):
-    """Begin a request; its stages report to windows of their own."""
+def begin_request(context, left, without):
+    """Begin a request whose stages report to the windows of the scenario."""
     document, _ = check_document(example_document("cooperative"))
     context.clock = SetClock(50.0)
     now = context.clock.now
@@ -92,29 +92,29 @@
 @given("its last stage took {seconds:g} seconds for each of {count:d} whole answers")
 def step(context, seconds, count):
     context.last = context.request.candidate.pipeline.stages[-1]
-    end_in_turn(context, count, seconds, streamed=False)
+    end_requests(context, count, seconds, streamed=False)
     context.limits = {k: limit for k, (limit, _) in context.windows.used().items()}
 
 
 @when("{count:d} streams of {seconds:g} seconds end, one after the other")
 def step(context, count, seconds):
-    end_in_turn(context, count, seconds, streamed=True)
+    end_requests(context, count, seconds, streamed=True)
 
 
-def end_in_turn(context, count, seconds, streamed):
-    """End requests whose last stage takes the same time each."""
+def end_requests(context, count, seconds, streamed):
+    """End requests one after the other; the last stage of each takes ``seconds``."""
     candidate, last = context.request.candidate, context.last
     now = context.clock.now
 
-    def ended(admitted, end):
-        took = now() - end.began
+    def record_end(admitted, end):
+        duration = now() - end.began
         name = candidate.pipeline.name
-        context.times.add(name, end.stage, took, now(), end.streamed)
+        context.times.add(name, end.stage, duration, now(), end.streamed)
         context.windows.end_stage(admitted, end, now())
 
     for _ in range(count):
         admitted = Admitted(
-            candidate, now(), now, ended, lambda _, stage: candidate.deadline
+            candidate, now(), now, record_end, lambda _, stage: candidate.deadline
         )
         context.windows.take(admitted, now())
         admitted.begin_stage(last.name)
--- a/tests/features/steps/policy_routing.py
+++ b/tests/features/steps/policy_routing.py
@@ -1,4 +1,4 @@
-"""Steps that choose servers on a clock and a random source of their own."""
+"""Steps on the choice of servers, with a simulated clock and seeded randomness."""
 
 import random
 from collections import Counter
@@ -20,7 +20,7 @@
 
 
 def new_server(number):
-    """Return one server of the service."""
+    """Return a server of the service, named by a number."""
     return Server(f"s-{number}", "pool", f"127.0.0.1:{number + 1}", "here")
 
 
@@ -43,13 +43,13 @@
 
 
 def choose(context, without=()):
-    """Choose a server as an attempt would."""
+    """Return the server that the policy chooses for an attempt."""
     need = RoutingNeed(frozenset(), context.prefix, without)
     return context.policy.choose(context.servers, need)
 
 
 def choices(context, without=()):
-    """Return how often each server is chosen while nothing changes."""
+    """Return how often each server is chosen while the loads stay the same."""
     return Counter(choose(context, without).name for _ in range(CHOICES))
 
 
@@ -154,7 +154,7 @@
 
 
 def fail(context, server):
-    """Have a call fail to reach a server."""
+    """Record a call that could not reach a server."""
     call = context.loads.begin(server)
     context.loads.end(server, call, CallEnd.UNREACHED, 0.001)
 
@@ -187,7 +187,7 @@
 
 
 def share(context, name):
-    """Return the share of a server."""
+    """Return the eased share of a server."""
     eased_from = context.loads.get(named(context, name)).eased_from
     return eased_share(eased_from, context.clock.now())
 
@@ -246,13 +246,13 @@
 
 
 def regions(context):
-    """Return the regions that are chosen."""
+    """Return the regions of the chosen servers."""
     return {named(context, name).region for name in choices(context)}
 
 
 @then("all choices are in the own region")
 def step(context):
-    # A sample of four holds none of the own region once in seventy times.
+    # One in seventy samples of four has no server of the entry's own region.
     far = sum(n for s, n in choices(context).items() if int(s[-1]) % 2)
     assert far < CHOICES / 20, far
 
--- a/tests/features/steps/policy_servers.py
+++ b/tests/features/steps/policy_servers.py
@@ -1,4 +1,4 @@
-"""Steps on servers that leave and are replaced."""
+"""Steps on servers that are leaving and servers that are replaced."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -83,7 +83,7 @@
 
 
 def call_until_slow(context, name, call):
-    """Call until the slow server has taken the call; the servers come in turn."""
+    """Call until a call reached the slow server; the servers are used in turn."""
     address = context.fleet.addresses()[1]
     for _ in range(10):
         call = Call("caption", context.injected.text())
@@ -94,7 +94,7 @@
 
 
 def offered(fleet, name):
-    """Return how many calls a server was offered."""
+    """Return the number of calls that a server was offered."""
     return fetch(fleet.servers[name].port, "/standin/runs")["offered"]
 
 
@@ -113,7 +113,7 @@
 
 @when("{seconds:d} s go by")
 def step(context, seconds):
-    # The promise itself names the time.
+    # The tested requirement states this time, so that the step must wait for it.
     time.sleep(seconds)
 
 
--- a/tests/features/steps/server_backoffs.py
+++ b/tests/features/steps/server_backoffs.py
@@ -1,4 +1,4 @@
-"""Steps on servers that want no calls for a while, and on servers that are gone."""
+"""Steps on servers that stated a back-off, and on servers that have crashed."""
 
 import contextlib
 import socket
@@ -13,12 +13,12 @@
 from tests.standins.clock import SetClock
 
 ADDRESS = "127.0.0.1"
-# More than a listener without a backlog takes.
+# Exceeds the connections that a listener without a backlog accepts.
 PENDING = 8
 
 
 def server(name):
-    """Return a server."""
+    """Return a server of the service, by its name."""
     return Server(name, "service", f"{name}:80", "hall", "1")
 
 
@@ -26,13 +26,13 @@
 def step(context):
     context.clock = SetClock()
     context.backoffs = ServerBackoffs(context.clock)
-    context.asked = set()
+    context.backed_off = set()
 
 
 @when('the server "{name}" asks for {first:g} s, and after {gap:g} s for {second:g} s')
 def step(context, name, first, gap, second):
     context.server = server(name)
-    context.asked.add(context.server)
+    context.backed_off.add(context.server)
     context.backoffs.note(context.server, first)
     context.clock.seconds += gap
     context.backoffs.note(context.server, second)
@@ -62,7 +62,7 @@
 
 @then("the first of them is called after {seconds:g} s")
 def step(context, seconds):
-    servers = list(context.asked)
+    servers = list(context.backed_off)
     assert not context.backoffs.usable(servers)
     assert context.backoffs.seconds_left(servers) == seconds
 
@@ -101,5 +101,5 @@
 
 @then("it {verdict} crashed")
 def step(context, verdict):
-    gone = has_crashed(ConnectionKeeper(), replace(server("a"), host=context.host))
-    assert gone is (verdict == "has")
+    crashed = has_crashed(ConnectionKeeper(), replace(server("a"), host=context.host))
+    assert crashed is (verdict == "has")
