--- a/tests/features/steps/drained_centres.py
+++ b/tests/features/steps/drained_centres.py
@@ -272,7 +272,7 @@
         """Accept a call and do nothing."""
 
     def look_again(self):
-        """Check for overdue calls; there are none."""
+        """Look for overdue calls; there are none."""
 
 
 @given(
