--- a/boragestream/serving/attempts.py
+++ b/boragestream/serving/attempts.py
@@ -1,8 +1,8 @@
-"""One attempt of a stage, from the chosen server to its end, with its accounts.
+"""One attempt of a stage on a chosen server, with its accounting.
 
-It sends the call, takes the server's report of its load and, at the end, tells the
-load table, the waiting line and the costs. Whether another attempt follows is left to
-``serving.stage``, attempts side by side to ``serving.race``.
+The attempt sends the call and records the load that the server reports. At its end it
+updates the load table, the waiting line and the costs. ``serving.stage`` decides
+whether another attempt follows; ``serving.race`` runs concurrent attempts.
 """
 
 from dataclasses import dataclass
@@ -51,9 +51,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StageRun:
-    """One stage of one request, the same for each of its attempts.
+    """One stage of one request, shared by all attempts of the stage.
 
-    :ivar guard: of the request at the servers of this stage.
+    :ivar guard: checks the request's quarantine at the servers of this stage.
     :ivar prefix: the key of the prompt's prefix; None for services without a cache.
     """
 
@@ -65,21 +65,21 @@
 
     @property
     def name(self) -> str:
-        """``pipeline.stage``."""
+        """The stage's full name, ``pipeline.stage``."""
         return f"{self.request.pipeline.name}.{self.stage.name}"
 
     @property
     def kind(self) -> str:
-        """Under which name its times are kept; a stream's end when its head comes."""
+        """The key of the stage's latencies; streams are timed to the answer's head."""
         return f"{self.name} stream" if self.call.stream else self.name
 
 
 class AttemptRun:
-    """One attempt; its load is counted from here to its end.
+    """One attempt; the load table counts it as open from construction to its end.
 
     :param run: the stage and its call.
     :param chosen: the server, with the permit to call it.
-    :param purpose: why it is made.
+    :param purpose: why the attempt is made.
     """
 
     def __init__(
@@ -94,24 +94,25 @@
         self._server = server = chosen.server
         self._permit = chosen.permit
         self._purpose = purpose
-        self._began = parts.clock.now()
-        self._call = parts.loads.begin(server)
-        self._lost = False
+        self._started_at = parts.clock.now()
+        self._load_call = parts.loads.begin(server)
+        self._lost_race = False
         self._closed = False
         self._id = new_attempt_id()
         self._scope = run.request.scope.child()
 
     @property
     def server(self) -> Server:
-        """The server that it runs on."""
+        """The server to which the attempt is sent."""
         return self._server
 
     def send(self) -> Any | AttemptFailure:
-        """Make the attempt; return the result, an open stream, or why there is none."""
+        """Send the call; return the result, an open stream, or the failure."""
         try:
             return self._send()
         except BaseException:
-            # A call that is never counted out would keep its server from others.
+            # A call left open in the load table would divert later calls from its
+            # server for good.
             self._close(CallEnd.CANCELLED)
             raise
 
@@ -125,38 +126,39 @@
             self._parts.connections,
             self._scope,
             self._parts.clock,
-            sending=self._sending,
+            sending=self._check_before_send,
             note_limit=self._note_limit,
         )
         if isinstance(answer, AttemptFailure):
             self._note_failure(answer)
-            self._close(_end_of(answer))
+            self._close(_call_end(answer))
             if answer.ran is Ran.NOT_SENT and self._permit is not None:
                 self._parts.limited.permits.give_back(self._permit)
             if isinstance(answer, AnswerCut):
-                run.guard.note_cut(self._server)
+                run.guard.check_for_crash(self._server)
             return answer
-        self._take_report(answer)
+        self._record_load(answer)
         if says_leaving(answer.headers):
             self._parts.servers.note_leaving(self._server)
-        answer.when_ended(self._answer_ended)
+        answer.when_ended(self._on_answer_end)
         if run.call.stream:
-            self._parts.times.add(run.kind, self._parts.clock.now() - self._began)
+            self._parts.times.add(run.kind, self._parts.clock.now() - self._started_at)
             return answer
         result = answer.read()
         if isinstance(result, AttemptFailure):
             self._note_failure(result)
         return result
 
-    def _sending(self) -> AttemptFailure | None:
-        # The choice has aged by a connect, and by whatever this process waited for.
+    def _check_before_send(self) -> AttemptFailure | None:
+        # The server's state may have changed since it was chosen, while this process
+        # connected or waited.
         if not self._parts.servers.takes_work(self._server):
             return ServerLeft(self._server.name, Ran.NOT_SENT)
         if not self._parts.backoffs.takes_calls(self._server):
             return ServerBackedOff(self._server.name, Ran.NOT_SENT)
         if not self._parts.limited.permits.is_valid(self._server, self._permit):
             return ServerLimited(self._server.name, Ran.NOT_SENT)
-        quarantined = self._run.guard.sending()
+        quarantined = self._run.guard.check_before_send()
         if quarantined is not None:
             return AttemptCancelled(self._server.name, Ran.NOT_SENT, quarantined)
         self._run.request.sent.note_sending(self._id, self._run.call.repeatable)
@@ -166,17 +168,17 @@
         limits = self._parts.limited.limits
         note_limit_change(limits.note_answer(self._server, limit, sent_at, whole))
 
-    def lose(self) -> None:
-        """Cancel the attempt, since another one was answered first."""
-        self._lost = True
+    def cancel(self) -> None:
+        """Cancel the attempt because another one was answered first."""
+        self._lost_race = True
         self._scope.cancel(HedgeLost())
 
-    def _take_report(self, answer: OpenAnswer) -> None:
+    def _record_load(self, answer: OpenAnswer) -> None:
         report = read_load(answer.headers)
         if report is not None:
             self._parts.loads.note_report(self._server, report)
 
-    def _answer_ended(self, whole: bool) -> None:
+    def _on_answer_end(self, whole: bool) -> None:
         if whole:
             self._close(CallEnd.ANSWERED)
             self._run.guard.note_answered()
@@ -185,7 +187,7 @@
             self._close(CallEnd.CANCELLED)
             return
         self._close(CallEnd.CUT)
-        self._run.guard.note_cut(self._server)
+        self._run.guard.check_for_crash(self._server)
 
     def _is_cancelled(self) -> bool:
         late = self._parts.clock.now() >= self._scope.deadline
@@ -196,8 +198,8 @@
             return
         self._closed = True
         parts, run = self._parts, self._run
-        seconds = parts.clock.now() - self._began
-        parts.loads.end(self._server, self._call, end, seconds, run.kind)
+        seconds = parts.clock.now() - self._started_at
+        parts.loads.end(self._server, self._load_call, end, seconds, run.kind)
         if end is CallEnd.ANSWERED and not run.call.stream:
             parts.times.add(run.kind, seconds)
         parts.observations.attempt_ended(
@@ -207,12 +209,14 @@
             seconds,
         )
         account = run.request.account.name
-        parts.costs.add(account, run.name, self._purpose, self._spent(end), seconds)
+        parts.costs.add(
+            account, run.name, self._purpose, self._cost_category(end), seconds
+        )
         run.request.scope.close_child(self._scope)
         parts.lines.of(run.stage.service).note_end()
 
-    def _spent(self, end: CallEnd) -> Spent:
-        if self._lost:
+    def _cost_category(self, end: CallEnd) -> Spent:
+        if self._lost_race:
             return Spent.HEDGED
         if end is CallEnd.ANSWERED:
             return Spent.USED
@@ -225,15 +229,15 @@
         request = self._run.request
         if not self._run.call.repeatable and failure.ran is not Ran.MAY_HAVE_RUN:
             request.sent.note_not_run(self._id)
-        if self._lost:
+        if self._lost_race:
             return
         if isinstance(failure, ServerErred | ServerRefused) and failure.leaving:
             self._parts.servers.note_leaving(self._server)
         if isinstance(failure, ServerRefused) and failure.backoff_seconds is not None:
             self._parts.backoffs.note(self._server, failure.backoff_seconds)
             note_backoff(self._server, failure.backoff_seconds)
-        crossed = isinstance(failure, AnswerCrossed)
-        event = Event.ANSWER_DISCARDED if crossed else Event.ATTEMPT_FAILED
+        mismatched = isinstance(failure, AnswerCrossed)
+        event = Event.ANSWER_DISCARDED if mismatched else Event.ATTEMPT_FAILED
         emit(
             event,
             request=request.request_id,
@@ -242,7 +246,7 @@
         )
 
 
-def _end_of(failure: AttemptFailure) -> CallEnd:
+def _call_end(failure: AttemptFailure) -> CallEnd:
     unsent = AttemptCancelled | ServerBackedOff | ServerLeft | ServerLimited
     if isinstance(failure, unsent):
         return CallEnd.CANCELLED
--- a/boragestream/serving/ejections.py
+++ b/boragestream/serving/ejections.py
@@ -1,7 +1,6 @@
-"""Says in the log what keeps a server from further calls for a while.
+"""Logs the back-offs and ejections that suspend calls to a server.
 
-The decisions themselves are those of ``policy.circuits`` and
-``policy.server_backoffs``.
+The decisions are made by ``policy.circuits`` and ``policy.server_backoffs``.
 """
 
 from boragestream.base.events import Event, emit
@@ -13,7 +12,7 @@
 
 
 def note_backoff(server: Server, seconds: float) -> None:
-    """Log that a server wants no calls of this entry for a while."""
+    """Log that a server asked this entry to send no calls for some seconds."""
     emit(
         Event.SERVER_BACKED_OFF,
         server=server.name,
@@ -23,7 +22,7 @@
 
 
 def note_ejection(loads: LoadTable, server: Server, now: float) -> None:
-    """Log that a server gets no calls for a while, where a failure had that effect."""
+    """Log the ejection of a server if its circuit is open after a failure."""
     circuit = loads.get(server).circuit
     if is_open(circuit, now):
         emit(
--- a/boragestream/serving/event_stream.py
+++ b/boragestream/serving/event_stream.py
@@ -1,7 +1,7 @@
-"""Cuts a stream into whole events and checks their numbers.
+"""Splits a stream into complete events and checks their numbers.
 
-Only whole events are passed on, so that a stream can go on at another server behind the
-last of them. Events that came already are dropped; a gap breaks the stream.
+Only complete events are passed on, so that a stream can resume at another server after
+the last of them. Duplicate events are dropped; a gap in the numbers breaks the stream.
 """
 
 import re
@@ -20,16 +20,16 @@
 class StreamBroken(Failure):
     """A stream is not what it should be.
 
-    :ivar reason: what is wrong with it.
+    :ivar reason: a description of the fault.
     """
 
     reason: str
 
 
 class EventSplitter:
-    """The events of one stream, from whichever servers they come.
+    """Splits one stream into events, across all servers that send parts of it.
 
-    :param last: the number of the last event that the caller has; None for none.
+    :param last: the number of the last event that the caller has; None if it has none.
     """
 
     def __init__(self, last: int | None) -> None:
@@ -38,30 +38,34 @@
 
     @property
     def last(self) -> int | None:
-        """The number of the last event that was passed on."""
+        """The number of the last event passed on; None if there is none."""
         return self._last
 
-    def take(self, data: bytes) -> list[bytes] | StreamBroken:
-        """Take bytes of a stream; return the events that are whole now."""
+    def feed(self, data: bytes) -> list[bytes] | StreamBroken:
+        """Add bytes of the stream; return the events that are now complete."""
         events: list[bytes] = []
         for event in self._buffer.take(data):
-            number = EVENT_NUMBER.search(event)
-            if number is not None:
-                position = int(number.group(1))
-                if self._last is not None and position <= self._last:
+            match = EVENT_NUMBER.search(event)
+            if match is not None:
+                event_number = int(match.group(1))
+                if self._last is not None and event_number <= self._last:
                     continue
-                if self._last is not None and position > self._last + 1:
-                    return StreamBroken(f"event {position} after {self._last}")
-                self._last = position
+                if self._last is not None and event_number > self._last + 1:
+                    return StreamBroken(
+                        f"event {event_number} does not follow event {self._last}"
+                    )
+                self._last = event_number
             events.append(event)
         if len(self._buffer) > MAX_EVENT_BYTES:
-            return StreamBroken("an event without end")
+            return StreamBroken("event exceeds 1 MiB")
         return events
 
-    def drop_rest(self) -> None:
-        """Forget the beginning of an event whose stream broke."""
+    def discard_partial(self) -> None:
+        """Discard the incomplete event of a stream that broke."""
         self._buffer.clear()
 
     def finish(self) -> StreamBroken | None:
-        """Take that the stream has ended; a half event breaks it."""
-        return None if self._buffer.blank else StreamBroken("half an event")
+        """End the stream; return a failure if an incomplete event remains."""
+        return (
+            None if self._buffer.blank else StreamBroken("stream ended within an event")
+        )
--- a/boragestream/serving/forward_attempt.py
+++ b/boragestream/serving/forward_attempt.py
@@ -1,6 +1,6 @@
-"""One attempt of a forwarded request at one server, and its accounts.
+"""One attempt of a forwarded request at one server, with its accounting.
 
-Whether another attempt follows is left to ``serving.forwarder``.
+``serving.forwarder`` decides whether another attempt follows.
 """
 
 import random
@@ -43,25 +43,25 @@
 
 __all__ = ["EncodeCall", "ForwardAttempt", "ForwardParts"]
 
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 
 
 class EncodeCall(Protocol):
-    """Puts the head of a call on the wire."""
+    """Encodes the head of a call for the wire."""
 
     def __call__(self, request: ForwardedRequest, call: CallHead, host: str) -> bytes:
-        """Return the head's bytes."""
+        """Return the encoded head."""
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardParts:
-    """What forwarding needs of the entry.
+    """The parts of the entry that forwarding uses.
 
-    :ivar cold: which servers have just started.
-    :ivar backoffs: which servers want no calls now.
-    :ivar limited: which servers have a limit, and permits to call them.
-    :ivar quarantine: which requests crash servers.
-    :ivar engine_delays: how long engines take to their first event.
+    :ivar cold: tracks the servers that have just started.
+    :ivar backoffs: tracks the servers that asked this entry to back off.
+    :ivar limited: grants permits to call servers with a request limit.
+    :ivar quarantine: tracks the requests that crash servers.
+    :ivar engine_delays: estimates the time to the first event of an engine's stream.
     :ivar list_age: returns the seconds since the server list was last confirmed.
     """
 
@@ -84,9 +84,9 @@
 
 
 class ForwardAttempt:
-    """One attempt at one server, and its accounts.
+    """One attempt at one server, with its accounting.
 
-    :param guard: of the request.
+    :param guard: checks the request's quarantine before it is sent.
     """
 
     def __init__(
@@ -101,39 +101,42 @@
         self._permit = chosen.permit
         self._parts = parts
         self._run = run
-        self._began = parts.clock.now()
-        self._number = parts.loads.begin(server)
+        self._started_at = parts.clock.now()
+        self._load_call = parts.loads.begin(server)
         parts.choice.open_calls.begin(server)
         self._scope = run.scope.child()
         self._answer: OpenForwardedAnswer | None = None
-        self._counted = True
+        self._is_open = True
         self._first_seconds: float | None = None
-        self._parts_iterator: Iterator[bytes | AttemptFailure] | None = None
+        self._chunk_iterator: Iterator[bytes | AttemptFailure] | None = None
 
     @property
     def server(self) -> Server:
-        """The server that it is made at."""
+        """The server to which the attempt is sent."""
         return self._server
 
     @property
     def head(self) -> AnswerHead:
-        """The head of its answer."""
+        """The head of the server's answer; available after ``open`` has succeeded."""
         return self._answer.head
 
     def open(
         self, inputs: tuple[str, ...], last_event: int | None, repeat: bool
     ) -> OpenForwardedAnswer | AttemptFailure:
-        """Send the request; return the open answer or why there is none.
+        """Send the request; return the open answer or the failure.
 
-        :param repeat: whether it may have run already. A repeat goes out on a fresh
-            connection: what spoilt the first attempt, such as an extra answer that
-            came late, may lie in wait on other kept connections too.
+        :param inputs: the handles of the stage results that the server reads.
+        :param last_event: the number of the last event that the caller has.
+        :param repeat: whether the request may have run already. A repeat is sent on a
+            new connection, since the fault of the first attempt, such as a late extra
+            answer, may also affect other pooled connections.
         """
         run, server = self._run, self._server
         request = run.request
 
         def encode(left: float) -> bytes | AttemptFailure:
-            # The choice has aged by a connect, and by whatever this process waited for.
+            # The server's state may have changed since it was chosen, while this
+            # process connected or waited.
             if not self._parts.servers.takes_work(server):
                 return ServerLeft(server.name, Ran.NOT_SENT)
             if not self._parts.backoffs.takes_calls(server):
@@ -142,7 +145,7 @@
                 return ServerCold(server.name, Ran.NOT_SENT)
             if not self._parts.limited.permits.is_valid(server, self._permit):
                 return ServerLimited(server.name, Ran.NOT_SENT)
-            quarantined = self._guard.sending()
+            quarantined = self._guard.check_before_send()
             if quarantined is not None:
                 return AttemptCancelled(server.name, Ran.NOT_SENT, quarantined)
             run.sent.note_sending(server.name, run.route.repeatable)
@@ -164,7 +167,7 @@
             self.end(CallEnd.CANCELLED)
             raise
         if isinstance(answer, AttemptFailure):
-            self.end(_end_of(answer))
+            self.end(_call_end(answer))
             if answer.ran is Ran.NOT_SENT and self._permit is not None:
                 self._parts.limited.permits.give_back(self._permit)
             return answer
@@ -174,51 +177,55 @@
     def _priority(self) -> int | None:
         service = self._run.table.services.get(self._run.service)
         engine = service is not None and service.engine is not None
-        return min(self._run.priority, LEAST_URGENT) if engine else None
+        return min(self._run.priority, LOWEST_PRIORITY) if engine else None
 
-    def parts(self) -> Iterator[bytes | AttemptFailure]:
-        """Return the parts of the answer; the same ones at each call."""
-        if self._parts_iterator is None:
-            self._parts_iterator = self._answer.parts()
-        return self._parts_iterator
+    def chunks(self) -> Iterator[bytes | AttemptFailure]:
+        """Return the iterator over the answer's chunks; it is created once."""
+        if self._chunk_iterator is None:
+            self._chunk_iterator = self._answer.parts()
+        return self._chunk_iterator
 
-    def note_first(self) -> None:
-        """Take that the first event came."""
+    def note_first_event(self) -> None:
+        """Record the delay of the stream's first event; later calls do nothing."""
         if self._first_seconds is None:
-            self._first_seconds = self._parts.clock.now() - self._began
+            self._first_seconds = self._parts.clock.now() - self._started_at
             kind = self._run.route.name
             self._parts.engine_delays.note(kind, self._first_seconds)
             self._parts.loads.end(
-                self._server, self._number, CallEnd.ANSWERED, self._first_seconds, kind
+                self._server,
+                self._load_call,
+                CallEnd.ANSWERED,
+                self._first_seconds,
+                kind,
             )
 
     def end(self, end: CallEnd) -> None:
-        """Count the attempt out; a second call does nothing."""
-        if not self._counted:
+        """Remove the attempt from the open calls; a second call does nothing."""
+        if not self._is_open:
             return
-        self._counted = False
+        self._is_open = False
         parts = self._parts
         parts.choice.open_calls.end(self._server)
         self._run.scope.close_child(self._scope)
         if self._first_seconds is None or end is not CallEnd.ANSWERED:
-            seconds = parts.clock.now() - self._began
+            seconds = parts.clock.now() - self._started_at
             kind = self._run.route.name
-            parts.loads.end(self._server, self._number, end, seconds, kind)
+            parts.loads.end(self._server, self._load_call, end, seconds, kind)
             if end is CallEnd.ANSWERED:
                 self._first_seconds = seconds
             elif end is not CallEnd.CANCELLED:
                 note_ejection(parts.loads, self._server, parts.clock.now())
-        service, first = self._run.service, self._first_seconds
-        parts.metrics.attempt_ended(service, end.name.lower(), first)
+        service, first_seconds = self._run.service, self._first_seconds
+        parts.metrics.attempt_ended(service, end.name.lower(), first_seconds)
 
     def close(self) -> None:
-        """Drop the answer where it is not read to its end."""
+        """Close the answer and end the attempt as cancelled if it is still open."""
         if self._answer is not None:
             self._answer.close()
         self.end(CallEnd.CANCELLED)
 
 
-def _end_of(failure: AttemptFailure) -> CallEnd:
+def _call_end(failure: AttemptFailure) -> CallEnd:
     if isinstance(
         failure,
         AttemptCancelled | ServerBackedOff | ServerCold | ServerLeft | ServerLimited,
--- a/boragestream/serving/forwarded_answer.py
+++ b/boragestream/serving/forwarded_answer.py
@@ -1,4 +1,4 @@
-"""What a caller is given of a server's answer to a forwarded request."""
+"""The answers to a forwarded request as they are delivered to the caller."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """A server's answer, whole."""
+    """A complete answer of a server."""
 
     head: AnswerHead
     body: bytes
@@ -19,10 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamedAnswer:
-    """A server's stream, with its first events; the rest follows.
+    """A stream whose first events have arrived.
 
-    :ivar head: of the first server, also where others go on.
-    :ivar events: whole events as they come; a failure is the last item.
+    :ivar head: the first server's head, even if other servers resume the stream.
+    :ivar events: yields complete events as they arrive; if the stream fails, the last
+        item is the failure.
     """
 
     head: AnswerHead
--- a/boragestream/serving/forwarded_choice.py
+++ b/boragestream/serving/forwarded_choice.py
@@ -1,7 +1,7 @@
 """Chooses the server of each attempt of a forwarded request.
 
-How one of several is chosen is left to ``policy.server_choice``, permits for servers
-with a limit to ``serving.limited_servers``.
+``policy.server_choice`` ranks the candidates; ``serving.limited_servers`` obtains
+permits for servers with a request limit.
 """
 
 from collections.abc import Sequence
@@ -28,57 +28,61 @@
 
 
 class ForwardedChoice:
-    """The choices of one request."""
+    """Chooses the servers for the attempts of one request."""
 
     def __init__(self, parts: ForwardParts, run: ForwardedRun) -> None:
         self._parts = parts
         self._run = run
         self._tried: set[str] = set()
 
-    def refusal(self, invested: bool) -> Failure | None:
-        """Return why the request can't be sent in time; None where it can.
+    def refusal(self, has_results: bool) -> Failure | None:
+        """Return why the request can't be sent in time; None if it can.
 
-        Stages would be done for nothing where no server can take their results.
+        This is checked before the stages run, since their work is wasted if no server
+        can take their results.
 
-        :param invested: whether results of its stages would be lost with it.
+        :param has_results: whether a refusal would discard results of its stages.
         """
         servers = self._servers()
         if not servers:
-            return self._no_server()
+            return self._no_server_failure()
         limited = self._parts.limited
-        free, held = limited.limits.split(servers)
-        if free or limited.soonest(held) <= self._longest_wait(invested):
+        unlimited, with_limit = limited.limits.split(servers)
+        if unlimited or limited.soonest(with_limit) <= self._longest_wait(has_results):
             return None
-        return limited.refusal(held)
+        return limited.refusal(with_limit)
 
-    def home(self) -> str:
-        """Return the data centre of the engine that holds most of the prompt."""
+    def engine_data_centre(self) -> str:
+        """Return the data centre of the engine that most likely caches the prompt.
+
+        It is empty if there is no engine or the prompt shares no prefix with others.
+        """
         run = self._run
         if not shared_tokens(run.request.prompt):
             return ""
         servers = self._servers()
-        free, _ = self._parts.limited.limits.split(servers)
+        unlimited, _ = self._parts.limited.limits.split(servers)
         part = shared_part(run.request.prompt)
-        engine = self._parts.choice.engine(free or servers, part)
+        engine = self._parts.choice.engine(unlimited or servers, part)
         return engine.data_centre if engine is not None else ""
 
-    def forgive(self, server: Server) -> None:
-        """Let a server be tried again."""
+    def allow_again(self, server: Server) -> None:
+        """Allow another attempt at a server that was tried already."""
         self._tried.discard(server.name)
 
-    def take(
+    def choose(
         self, inputs: tuple[StageResult, ...], number: int
     ) -> PermittedServer | Failure | None:
-        """Return the server of the next attempt, or why there is none.
+        """Return the server of the next attempt or the failure.
 
-        :param inputs: the results of stages that the call reads.
-        :param number: of the attempt, for the log.
+        :param inputs: the stage results that the call reads.
+        :param number: the attempt's number, for the log.
         """
         servers = self._servers()
         reason = self._run.scope.reason
         if not servers or reason is not None:
             return reason
-        chosen = self._permitted(servers, inputs)
+        chosen = self._choose_permitted(servers, inputs)
         if not isinstance(chosen, PermittedServer):
             return chosen
         self._tried.add(chosen.server.name)
@@ -90,40 +94,42 @@
             return scope.reason
         return chosen
 
-    def _permitted(
+    def _choose_permitted(
         self, servers: Sequence[Server], inputs: tuple[StageResult, ...]
     ) -> PermittedServer | Failure | None:
         limited = self._parts.limited
-        free, held = limited.limits.split(servers)
-        if not held:
-            return self._unlimited(free, inputs)
-        untried = self._untried(free)
+        unlimited, with_limit = limited.limits.split(servers)
+        if not with_limit:
+            return self._choose_unlimited(unlimited, inputs)
+        untried = self._untried(unlimited)
         if untried:
-            quiet = limited.unasked(self._untried(held))
-            ready = limited.ready(self._untried(held))
-            server = quiet or self._best([*untried, *ready], inputs)
-            chosen = limited.at_once(server) if server in held else None
-            return chosen or self._unlimited(free, inputs)
+            idle = limited.unasked(self._untried(with_limit))
+            ready = limited.ready(self._untried(with_limit))
+            server = idle or self._choose_best([*untried, *ready], inputs)
+            chosen = limited.at_once(server) if server in with_limit else None
+            return chosen or self._choose_unlimited(unlimited, inputs)
         wait = self._longest_wait(bool(inputs))
-        candidates = self._untried(held) or held
-        chosen = limited.first(candidates, wait, lambda some: self._best(some, inputs))
-        if isinstance(chosen, ServersLimited) and free:
-            return self._unlimited(free, inputs)
+        candidates = self._untried(with_limit) or with_limit
+        chosen = limited.first(
+            candidates, wait, lambda nearby: self._choose_best(nearby, inputs)
+        )
+        if isinstance(chosen, ServersLimited) and unlimited:
+            return self._choose_unlimited(unlimited, inputs)
         return chosen
 
-    def _unlimited(
-        self, free: Sequence[Server], inputs: tuple[StageResult, ...]
+    def _choose_unlimited(
+        self, unlimited: Sequence[Server], inputs: tuple[StageResult, ...]
     ) -> PermittedServer | None:
         avoid = frozenset(self._tried)
-        if len(avoid) >= len(free):
+        if len(avoid) >= len(unlimited):
             avoid = frozenset()
-        server = self._best(free, inputs, avoid)
+        server = self._choose_best(unlimited, inputs, avoid)
         return PermittedServer(server) if server is not None else None
 
     def _untried(self, servers: Sequence[Server]) -> list[Server]:
         return [server for server in servers if server.name not in self._tried]
 
-    def _best(
+    def _choose_best(
         self,
         servers: Sequence[Server],
         inputs: tuple[StageResult, ...],
@@ -137,15 +143,15 @@
         near = near_results(inputs, shared_tokens(prompt))
         return choice.engine(servers, shared_part(prompt), near, avoid)
 
-    def _longest_wait(self, invested: bool) -> float:
-        """Return how long the request may wait for a permit.
+    def _longest_wait(self, has_results: bool) -> float:
+        """Return how many seconds the request may wait for a permit.
 
-        :param invested: whether results of its stages would be lost with it.
+        :param has_results: whether a refusal would discard results of its stages.
         """
         run, parts = self._run, self._parts
         now = parts.clock.now()
         until_deadline = max(0.0, run.scope.deadline - now)
-        if invested:
+        if has_results:
             return until_deadline
         left = run.objective_at - now
         if run.route.kind is CallKind.STREAM:
@@ -153,7 +159,7 @@
         return min(until_deadline, longest_wait(run.priority, left))
 
     def _servers(self) -> Sequence[Server]:
-        """Return the servers that may be sent this request now."""
+        """Return the allowed servers that are neither backed off nor cold."""
         parts = self._parts
         return parts.cold.usable(parts.backoffs.usable(self._allowed()))
 
@@ -165,8 +171,8 @@
             return live
         return [server for server in live if server.region in regions]
 
-    def _no_server(self) -> Failure:
-        """Return why there is no server."""
+    def _no_server_failure(self) -> Failure:
+        """Return the failure that explains why no server is available."""
         service = self._run.service
         allowed = self._allowed()
         left = self._parts.backoffs.seconds_left(allowed)
@@ -178,7 +184,7 @@
             return CentresDrained(service)
         return NoLiveServer(service)
 
-    def _note_choice(self, server: Server, live: int, number: int) -> None:
+    def _note_choice(self, server: Server, candidates: int, number: int) -> None:
         run, parts = self._run, self._parts
         age = parts.list_age()
         parts.metrics.server_chosen(age)
@@ -188,7 +194,7 @@
             service=run.service,
             server=server.name,
             data_centre=server.data_centre,
-            of=live,
+            of=candidates,
             open_calls=parts.choice.open_calls.count(server),
             attempt=number,
             version=run.table.version,
--- a/boragestream/serving/forwarded_run.py
+++ b/boragestream/serving/forwarded_run.py
@@ -1,4 +1,4 @@
-"""One forwarded request on its way: what it uses from end to end."""
+"""The state of one forwarded request, and its outcome when it is not answered."""
 
 from dataclasses import dataclass
 
@@ -15,15 +15,15 @@
 
 __all__ = ["ForwardedRun", "InputsGone", "ServerDidNotRun", "outcome_of"]
 
-# A caller that comes back after this finds a server free or another entry, where
-# nothing is known of a queue.
-USUAL_RETURN_SECONDS = 0.25
-# Without a server a queue's wait has no end, and a caller that believed it would stay
-# away for an hour. Servers that lapsed or crashed are mostly back within this time.
-LONGEST_RETURN_SECONDS = 5.0
-# A data centre is drained for seconds at the least. A caller with one more try that
-# comes back at once has lost it.
-DRAINED_RETURN_SECONDS = 2.0
+# Used where the length of a queue is not known: within this time a server becomes free
+# or the caller reaches another entry.
+DEFAULT_RETRY_AFTER_SECONDS = 0.25
+# Without a server a queue's expected wait is unbounded, and a caller would be told to
+# stay away for an hour. Servers that lapsed or crashed mostly return within this time.
+MAX_RETRY_AFTER_SECONDS = 5.0
+# A data centre stays drained for at least some seconds. A caller with a single retry
+# left would waste it by returning at once.
+DRAINED_RETRY_AFTER_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,14 +45,14 @@
 class ForwardedRun:
     """One request.
 
-    :ivar table: the version of the routes that the request uses from end to end.
-    :ivar account: the client account's name; empty where there is none.
-    :ivar priority: by client account and route; 0 is the most urgent.
-    :ivar service: the service that was chosen of the route's targets.
-    :ivar arrived: the clock's seconds of its first byte.
-    :ivar fingerprint: tells the request from others over all its returns.
-    :ivar account_regions: where alone its client account may be served; empty for
-        anywhere.
+    :ivar table: the version of the routes that applies to the whole request.
+    :ivar account: the client account's name; empty if there is none.
+    :ivar priority: set by client account and route; 0 is the most urgent.
+    :ivar service: the service chosen from the route's targets.
+    :ivar arrived: the clock's time of the first byte, in seconds.
+    :ivar fingerprint: identifies the request across all its repeats.
+    :ivar account_regions: the only regions where its client account may be served;
+        empty for no restriction.
     """
 
     request: ForwardedRequest
@@ -69,28 +69,28 @@
 
     @property
     def regions(self) -> frozenset[str] | None:
-        """Where alone the request may be served; None for anywhere.
+        """The only regions where the request may be served; None for all regions.
 
-        Where both its route and its client account name regions, both bind.
+        If both its route and its client account name regions, both restrictions apply.
         """
-        named = [r for r in (self.route.regions, self.account_regions) if r]
-        return frozenset.intersection(*named) if named else None
+        restrictions = [r for r in (self.route.regions, self.account_regions) if r]
+        return frozenset.intersection(*restrictions) if restrictions else None
 
     @property
     def objective_at(self) -> float:
-        """The clock's seconds at which the answer must begin to be worth most."""
+        """The clock's time, in seconds, by which the answer should begin."""
         return self.arrived + self.route.objective_seconds
 
     def note_not_run(self, server: Server) -> None:
-        """Take a server's word that it did not run the request."""
+        """Record that a server states that it did not run the request."""
         self.sent.note_not_run(server.name)
 
 
 def outcome_of(run: ForwardedRun, failure: Failure) -> Refused | Failed | Unknown:
-    """Return the true outcome of a request that was not answered.
+    """Return the outcome of a request that was not answered.
 
-    It was refused, and never runs, only where no server may have run it. One that is
-    quarantined has run, on servers that it crashed.
+    The outcome is a refusal, after which the request never runs, only if no server may
+    have run it. A quarantined request has run, on the servers that it crashed.
     """
     if isinstance(failure, RequestQuarantined):
         return Failed(failure, failure.left_seconds)
@@ -98,13 +98,15 @@
         return (
             Unknown(failure, "") if not run.route.repeatable else Failed(failure, 0.0)
         )
-    wait = USUAL_RETURN_SECONDS
+    retry_after = DEFAULT_RETRY_AFTER_SECONDS
     if isinstance(failure, RequestSuspected):
-        wait = min(LONGEST_RETURN_SECONDS, failure.left_seconds)
+        retry_after = min(MAX_RETRY_AFTER_SECONDS, failure.left_seconds)
     if isinstance(failure, ServersBackedOff | ServersLimited):
-        wait = failure.left_seconds
+        retry_after = failure.left_seconds
     if isinstance(failure, CentresDrained):
-        wait = DRAINED_RETURN_SECONDS
+        retry_after = DRAINED_RETRY_AFTER_SECONDS
     if isinstance(failure, StageSaturated):
-        wait = min(LONGEST_RETURN_SECONDS, max(wait, failure.wait_ms / 1000))
-    return Refused(failure, wait)
+        retry_after = min(
+            MAX_RETRY_AFTER_SECONDS, max(retry_after, failure.wait_ms / 1000)
+        )
+    return Refused(failure, retry_after)
--- a/boragestream/serving/forwarder.py
+++ b/boragestream/serving/forwarder.py
@@ -1,8 +1,8 @@
-"""Forwards a request to a backend server, and again to another where that is safe.
+"""Forwards a request to a backend server and retries it at another where that is safe.
 
-A call that runs at most once goes out on a fresh connection and is sent again only
-where the server says that it did not run it. A stream that may be resumed goes on at
-another server when its own breaks off; any other one ends without its end mark.
+A call that may run at most once is sent on a new connection, and is sent again only
+if the server states that it did not run it. A resumable stream continues at another
+server when its connection breaks; any other stream ends without its end mark.
 """
 
 from collections.abc import Iterator
@@ -46,8 +46,8 @@
 __all__ = ["Forwarder"]
 
 SERVER_ERROR = 500
-# Most servers that one request asks in vain before it is given up.
-MOST_REFUSALS = 4
+# After more refusals than this the request fails.
+MAX_REFUSALS = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,13 +57,13 @@
     parts: ForwardParts
 
     def run(self, run: ForwardedRun) -> WholeAnswer | StreamedAnswer | Failure:
-        """Take a request through its stages and to a server."""
+        """Run the request's stages, then forward it to a server."""
         self.parts.retries.note_request(run.service)
         return _Forwarding(self.parts, run).answer()
 
 
 class _Forwarding:
-    """One request under way."""
+    """The state of one request while it is forwarded."""
 
     def __init__(self, parts: ForwardParts, run: ForwardedRun) -> None:
         self._parts = parts
@@ -76,17 +76,17 @@
         )
         self._stream = run.route.kind is CallKind.STREAM
         self._inputs: tuple[StageResult, ...] = ()
-        self._inputs_made = False
+        self._inputs_ready = False
         self._choice = ForwardedChoice(parts, run)
-        # Attempts that may have run, and attempts that a server refused.
-        self._runs = 0
+        # Attempts that may have run, and attempts that certainly did not.
+        self._possible_runs = 0
         self._refusals = 0
         self._splitter = EventSplitter(run.request.last_event)
         self._failure: Failure | None = None
         self._error: WholeAnswer | None = None
 
     def answer(self) -> WholeAnswer | StreamedAnswer | Failure:
-        """Return the answer, or why there is none."""
+        """Return the answer or the failure."""
         for opened in self._attempts():
             if isinstance(opened, WholeAnswer):
                 return opened
@@ -96,76 +96,76 @@
         return self._error or self._failure or NoLiveServer(self._run.service)
 
     def _attempts(self) -> Iterator[WholeAnswer | ForwardAttempt]:
-        """Yield the outcome of attempt after attempt, as long as one may follow."""
+        """Yield the outcome of each attempt until no other one may follow."""
         while True:
             quarantined = self._guard.refusal()
             if quarantined is not None:
                 self._failure = quarantined
-                self._give_inputs_up()
+                self._release_inputs()
                 return
             chosen = self._choose()
             if isinstance(chosen, Failure):
-                tells_return = isinstance(chosen, ServersBackedOff | ServersLimited)
-                if self._failure is None or tells_return:
+                has_retry_time = isinstance(chosen, ServersBackedOff | ServersLimited)
+                if self._failure is None or has_retry_time:
                     self._failure = chosen
-                self._give_inputs_up()
+                self._release_inputs()
                 return
             server = chosen.server
             attempt = ForwardAttempt(self._parts, self._run, self._guard, chosen)
             handles = tuple(result.handle for result in self._inputs)
-            result = attempt.open(handles, self._splitter.last, self._runs > 0)
+            result = attempt.open(handles, self._splitter.last, self._possible_runs > 0)
             if isinstance(result, AttemptFailure):
-                self._note_cut(server, result)
-                if not self._may_go_on(result):
-                    self._give_inputs_up()
+                self._check_for_crash(server, result)
+                if not self._may_retry_after(result):
+                    self._release_inputs()
                     return
                 continue
-            yielded = self._take_answer(attempt, result)
-            if yielded is not None:
-                yield yielded
-            if not self._may_repeat():
-                self._give_inputs_up()
+            outcome = self._handle_answer(attempt, result)
+            if outcome is not None:
+                yield outcome
+            if not self._may_retry():
+                self._release_inputs()
                 return
 
     def _choose(self) -> PermittedServer | Failure:
-        """Return the server of the next attempt, once the stages are done."""
-        failure = self._choice.refusal(self._inputs_made) or self._make_inputs()
+        """Run the stages if necessary; return the server of the next attempt."""
+        failure = self._choice.refusal(self._inputs_ready) or self._run_stages()
         if failure is not None:
             return failure
-        number = self._runs + self._refusals + 1
-        chosen = self._choice.take(self._inputs, number)
+        number = self._possible_runs + self._refusals + 1
+        chosen = self._choice.choose(self._inputs, number)
         return chosen or NoLiveServer(self._run.service)
 
-    def _take_answer(
+    def _handle_answer(
         self, attempt: ForwardAttempt, answer: OpenForwardedAnswer
     ) -> WholeAnswer | ForwardAttempt | None:
-        """Return what the caller gets of an answer; None where there is nothing yet."""
+        """Return what the caller receives; None if there is nothing yet."""
         head = answer.head
         if head.claim is not RunClaim.RAN:
-            self._take_refusal(attempt, answer)
+            self._handle_refusal(attempt, answer)
             return None
-        self._runs += 1
-        good = head.status < SERVER_ERROR
-        proved = head.sealed and not head.encoded
-        if self._stream and 200 <= head.status < 300 and proved:
+        self._possible_runs += 1
+        successful = head.status < SERVER_ERROR
+        verified = head.sealed and not head.encoded
+        if self._stream and 200 <= head.status < 300 and verified:
             return attempt
         body = answer.read()
-        whole = isinstance(body, bytes) and proved
-        attempt.end(CallEnd.ANSWERED if whole and good else CallEnd.CUT)
+        whole = isinstance(body, bytes) and verified
+        attempt.end(CallEnd.ANSWERED if whole and successful else CallEnd.CUT)
         if not whole:
-            failed = body if isinstance(body, Failure) else _unproved(attempt.server)
-            self._note_cut(attempt.server, failed)
+            failed = body if isinstance(body, Failure) else _unverified(attempt.server)
+            self._check_for_crash(attempt.server, failed)
             self._note_failure(failed)
             return None
         self._guard.note_answered()
-        self._give_inputs_up()
-        if good or not self._run.route.repeatable:
+        self._release_inputs()
+        if successful or not self._run.route.repeatable:
             return WholeAnswer(head, body)
-        # A failure of the server's own is delivered if nothing better comes.
+        # The server's error answer is delivered if no later attempt succeeds.
         self._error = WholeAnswer(head, body)
         return None
 
-    def _take_refusal(
+    def _handle_refusal(
         self, attempt: ForwardAttempt, answer: OpenForwardedAnswer
     ) -> None:
         answer.read()
@@ -178,27 +178,27 @@
         else:
             attempt.end(CallEnd.REFUSED)
         if head.status == 409:
-            self._inputs_made = False
+            self._inputs_ready = False
             self._note_failure(InputsGone(server.name))
-            self._choice.forgive(server)
+            self._choice.allow_again(server)
             return
         self._note_failure(ServerDidNotRun(server.name, head.status))
 
-    def _make_inputs(self) -> Failure | None:
-        if self._inputs_made or not self._run.route.stages:
+    def _run_stages(self) -> Failure | None:
+        if self._inputs_ready or not self._run.route.stages:
             return None
-        made = self._parts.stages.run(self._run, self._choice.home())
-        if isinstance(made, Failure):
-            return made
-        self._inputs = made
-        self._inputs_made = True
+        results = self._parts.stages.run(self._run, self._choice.engine_data_centre())
+        if isinstance(results, Failure):
+            return results
+        self._inputs = results
+        self._inputs_ready = True
         return None
 
-    def _give_inputs_up(self) -> None:
-        if self._inputs_made:
+    def _release_inputs(self) -> None:
+        if self._inputs_ready:
             self._parts.stages.release(self._inputs)
             self._inputs = ()
-            self._inputs_made = False
+            self._inputs_ready = False
 
     def _note_failure(self, failure: Failure) -> None:
         self._failure = failure
@@ -209,69 +209,69 @@
             failure=failure.describe(),
         )
 
-    def _note_cut(self, server: Server, failure: Failure) -> None:
-        """Have it checked whether a server crashed under the request."""
+    def _check_for_crash(self, server: Server, failure: Failure) -> None:
+        """Check for a crash of the server if its answer was cut."""
         if isinstance(failure, AnswerCut) and failure.ran is Ran.MAY_HAVE_RUN:
-            self._guard.note_cut(server)
+            self._guard.check_for_crash(server)
 
-    def _may_go_on(self, failure: AttemptFailure) -> bool:
-        """Tell whether another attempt may follow one without an answer."""
+    def _may_retry_after(self, failure: AttemptFailure) -> bool:
+        """Record an attempt without an answer; return whether another may follow."""
         self._note_failure(
             failure.reason if isinstance(failure, AttemptCancelled) else failure
         )
         if isinstance(failure, AttemptCancelled):
             return False
         if failure.ran is not Ran.MAY_HAVE_RUN:
-            # Nothing arrived, so that the next attempt is no repeat.
+            # The request was not run, so the next attempt is not a repeat.
             self._refusals += 1
-            return self._refusals <= MOST_REFUSALS
-        self._runs += 1
-        return self._may_repeat()
+            return self._refusals <= MAX_REFUSALS
+        self._possible_runs += 1
+        return self._may_retry()
 
-    def _may_repeat(self) -> bool:
+    def _may_retry(self) -> bool:
         run = self._run
-        if run.scope.reason is not None or self._refusals > MOST_REFUSALS:
+        if run.scope.reason is not None or self._refusals > MAX_REFUSALS:
             return False
-        if self._runs and not run.route.repeatable:
+        if self._possible_runs and not run.route.repeatable:
             return False
-        if self._runs >= run.route.attempts:
+        if self._possible_runs >= run.route.attempts:
             return False
         if self._parts.clock.now() >= run.scope.deadline:
             return False
         return self._parts.retries.spend(run.service)
 
     def _first_events(self, attempt: ForwardAttempt) -> list[bytes] | None:
-        """Wait for the first whole events; None where the stream breaks before."""
-        for part in attempt.parts():
-            if isinstance(part, Failure):
-                self._broken(attempt, part)
+        """Return the first complete events; None if the stream breaks before them."""
+        for chunk in attempt.chunks():
+            if isinstance(chunk, Failure):
+                self._handle_broken_stream(attempt, chunk)
                 return None
-            events = self._splitter.take(part)
+            events = self._splitter.feed(chunk)
             if isinstance(events, Failure):
-                self._broken(attempt, events)
+                self._handle_broken_stream(attempt, events)
                 return None
             if events:
-                attempt.note_first()
-                self._give_inputs_up()
+                attempt.note_first_event()
+                self._release_inputs()
                 return events
-        # A stream without any event is a whole answer all the same.
-        attempt.note_first()
-        self._give_inputs_up()
+        # A stream that ends without any event is a complete answer.
+        attempt.note_first_event()
+        self._release_inputs()
         return []
 
-    def _broken(self, attempt: ForwardAttempt, failure: Failure) -> None:
+    def _handle_broken_stream(self, attempt: ForwardAttempt, failure: Failure) -> None:
         attempt.end(CallEnd.CUT)
-        # The server must not be at work on it any more when another goes on.
+        # Closing the connection stops the server before another one resumes the stream.
         attempt.close()
-        self._note_cut(attempt.server, failure)
-        self._splitter.drop_rest()
+        self._check_for_crash(attempt.server, failure)
+        self._splitter.discard_partial()
         cancelled = isinstance(failure, AttemptCancelled)
         self._note_failure(failure.reason if cancelled else failure)
 
     def _events(
         self, attempt: ForwardAttempt, first: list[bytes]
     ) -> Iterator[bytes | Failure]:
-        """Yield the events of a stream, from server to server where it may go on."""
+        """Yield a stream's events, resuming it at other servers where possible."""
         current: ForwardAttempt | None = attempt
         try:
             if first:
@@ -280,39 +280,41 @@
                 broken = yield from self._relay(current)
                 if not broken:
                     return
-                current = self._resume() if self._may_repeat() else None
+                current = self._resume() if self._may_retry() else None
             yield self._failure
         finally:
             if current is not None:
                 current.close()
-            self._give_inputs_up()
+            self._release_inputs()
 
     def _resume(self) -> ForwardAttempt | None:
-        """Return the attempt that goes on with the stream; None where none does."""
+        """Return an attempt that resumes the stream; None if there is none."""
         for opened in self._attempts():
             if isinstance(opened, ForwardAttempt):
                 return opened
         return None
 
     def _relay(self, attempt: ForwardAttempt) -> Iterator[bytes]:
-        """Yield a stream's events; return whether it broke."""
-        for part in attempt.parts():
-            events = part if isinstance(part, Failure) else self._splitter.take(part)
+        """Yield the events of one server's stream; return whether the stream broke."""
+        for chunk in attempt.chunks():
+            events = chunk if isinstance(chunk, Failure) else self._splitter.feed(chunk)
             if isinstance(events, Failure):
-                self._broken(attempt, events)
+                self._handle_broken_stream(attempt, events)
                 return True
             if events:
-                attempt.note_first()
-                self._give_inputs_up()
+                attempt.note_first_event()
+                self._release_inputs()
                 yield b"".join(events)
-        rest = self._splitter.finish()
-        if isinstance(rest, StreamBroken):
-            self._broken(attempt, rest)
+        unfinished = self._splitter.finish()
+        if isinstance(unfinished, StreamBroken):
+            self._handle_broken_stream(attempt, unfinished)
             return True
         attempt.end(CallEnd.ANSWERED)
         self._guard.note_answered()
         return False
 
 
-def _unproved(server: Server) -> AttemptFailure:
-    return AnswerCut(server.name, Ran.MAY_HAVE_RUN, "no proof of its origin")
+def _unverified(server: Server) -> AttemptFailure:
+    return AnswerCut(
+        server.name, Ran.MAY_HAVE_RUN, "answer not verified as the server's own"
+    )
--- a/boragestream/serving/limited_servers.py
+++ b/boragestream/serving/limited_servers.py
@@ -1,14 +1,14 @@
-"""Takes permits for servers that named a limit on their requests.
+"""Obtains permits for servers that announced a limit on their request rate.
 
-Beside servers without a limit a limited one is taken only where it would be chosen of
-all, so that its requests stay near their results and cached prompts, and only with a
-permit that begins at once. One that gets no requests so is sent one now and then by the
-entry that grants its permits, to notice that the limit has ended. Where all are limited
-a request waits for a permit if it can still be served in time, and is refused at once
-otherwise.
+If some servers of a service have no limit, a limited server is used only if it ranks
+best of all, so that requests stay near their results and cached prompts, and only with
+a permit that is valid at once. A limited server that receives no requests this way is
+sent one now and then by the entry that grants its permits, to detect the end of the
+limit. If all servers are limited, a request waits for a permit if it can still be
+served in time, and is refused at once otherwise.
 
-Load pattern: a few servers in need among many; a service of which all servers are in
-need beside a burst.
+Load pattern: a few overloaded servers among many; a service with all of its servers
+overloaded during a burst.
 """
 
 import random
@@ -25,20 +25,20 @@
 
 __all__ = ["LimitedServers", "PermittedServer"]
 
-# To wait so long for the best of several servers costs less than to read its cached
-# prompts and fetch the results beside it again at another.
-PREFERRED_SECONDS = 0.1
-# Most servers of which one request asks for a permit that begins about now.
-MOST_ASKED = 3
-# How often a request that waits for its permit's beginning looks whether it is wanted.
-WAKE_SECONDS = 0.02
+# Waiting this long for the best server costs less than computing its cached prompts
+# again at another server and fetching the stage results from near it.
+PREFERENCE_WAIT_SECONDS = 0.1
+# A request asks at most this many servers for one of the earliest permits.
+MAX_PERMIT_REQUESTS = 3
+# Interval at which a request that waits for its permit checks for cancellation.
+CANCEL_POLL_SECONDS = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class PermittedServer:
-    """A server that was chosen.
+    """A chosen server.
 
-    :ivar permit: to call it; None where it has no limit.
+    :ivar permit: allows one call; None if the server has no limit.
     """
 
     server: Server
@@ -46,10 +46,10 @@
 
 
 class LimitedServers:
-    """The limited servers as an entry's requests use them; any thread may ask.
+    """The limited servers and permits of one entry; safe to use from any thread.
 
-    :param entries: returns how many entries are live.
-    :param rng: spreads the times at which callers come back.
+    :param entries: returns the number of live entries.
+    :param rng: adds jitter to the times at which callers return.
     """
 
     def __init__(
@@ -65,32 +65,35 @@
         self._entries = entries
         self._clock = clock
         self._rng = rng
-        self._returns: dict[str, ReturnSchedule] = {}
+        self._return_schedules: dict[str, ReturnSchedule] = {}
         self._lock = threading.Lock()
 
     @property
     def limits(self) -> ServerLimits:
-        """What is known of the limits."""
+        """The limits that this entry knows."""
         return self._limits
 
     @property
     def permits(self) -> ServerPermits:
-        """Where permits come from."""
+        """The source of the permits."""
         return self._permits
 
     def ready(self, limited: Sequence[Server]) -> list[Server]:
-        """Return the servers of which a permit may be had at once."""
+        """Return the servers for which a permit may be available at once."""
         return [s for s in limited if self._limits.seconds_left(s) <= 0]
 
     def unasked(self, limited: Sequence[Server]) -> Server | None:
-        """Return a server whose permits are this entry's, and nobody asks for any."""
+        """Return a server whose permits this entry grants and nobody requests.
+
+        :returns: None if there is no such server.
+        """
         for server in limited:
             if self._limits.is_unasked(server) and self._permits.grants(server):
                 return server
         return None
 
     def at_once(self, server: Server) -> PermittedServer | None:
-        """Return a server with a permit that begins now; None where there is none."""
+        """Return the server with a permit that starts now; None if none is granted."""
         permit = self._permits.acquire(server, 0.0)
         if isinstance(permit, PermitRefused):
             return None
@@ -102,26 +105,29 @@
         wait_seconds: float,
         prefer: Callable[[Sequence[Server]], Server | None],
     ) -> PermittedServer | ServersLimited:
-        """Return a server with a permit, or refuse the request.
+        """Return a server with a permit, or the refusal of the request.
 
         :param limited: servers of one service.
-        :param wait_seconds: the longest wait for the permit's beginning.
-        :param prefer: chooses among servers that are to be had about equally soon.
-        :returns: the first that is to be had about now, else the soonest.
+        :param wait_seconds: the longest wait for the permit's start.
+        :param prefer: chooses among servers with about the same expected wait.
+        :returns: the preferred server among those with the earliest permits; if these
+            are not granted, the server with the shortest expected wait.
         """
-        left = list(limited)
-        for _ in range(min(MOST_ASKED, len(left))):
-            soonest = min(self._limits.seconds_left(server) for server in left)
+        remaining = list(limited)
+        for _ in range(min(MAX_PERMIT_REQUESTS, len(remaining))):
+            soonest = min(self._limits.seconds_left(server) for server in remaining)
             if soonest > wait_seconds:
                 break
-            latest = min(wait_seconds, soonest + PREFERRED_SECONDS)
-            near = [s for s in left if self._limits.seconds_left(s) <= latest]
-            server = prefer(near) or near[0]
-            permit = self._permits.acquire(server, latest)
+            max_wait = min(wait_seconds, soonest + PREFERENCE_WAIT_SECONDS)
+            candidates = [
+                s for s in remaining if self._limits.seconds_left(s) <= max_wait
+            ]
+            server = prefer(candidates) or candidates[0]
+            permit = self._permits.acquire(server, max_wait)
             if isinstance(permit, Permit):
                 return PermittedServer(server, permit)
-            left.remove(server)
-        # Those that were asked have said when they have room.
+            remaining.remove(server)
+        # The replies have updated the expected waits of the servers asked above.
         server = min(limited, key=self._limits.seconds_left)
         if self._limits.seconds_left(server) <= wait_seconds:
             permit = self._permits.acquire(server, wait_seconds)
@@ -130,19 +136,21 @@
         return self.refusal(limited)
 
     def soonest(self, limited: Sequence[Server]) -> float:
-        """Return the seconds until the first permit, as far as known here."""
+        """Return the expected seconds until the earliest permit."""
         return min(self._limits.seconds_left(server) for server in limited)
 
     def refusal(self, limited: Sequence[Server]) -> ServersLimited:
-        """Return the refusal of a request for servers that are all limited.
+        """Return the refusal of a request whose servers are all limited.
 
-        Callers that were refused before it come back before it.
+        Callers that were refused earlier are told to return earlier.
         """
         service = limited[0].service
         rate = sum(self._limits.rate(server) for server in limited)
         with self._lock:
-            returns = self._returns.setdefault(service, ReturnSchedule(self._rng))
-            seconds = returns.retry_after(
+            schedule = self._return_schedules.setdefault(
+                service, ReturnSchedule(self._rng)
+            )
+            seconds = schedule.retry_after(
                 self._clock.now(),
                 self.soonest(limited),
                 rate / max(1, self._entries()),
@@ -150,15 +158,15 @@
         return ServersLimited(service, seconds)
 
     def wait(self, permit: Permit | None, cancelled: Callable[[], bool]) -> bool:
-        """Wait for a permit's beginning; False where its request is cancelled.
+        """Wait for a permit's start; return False if its request is cancelled.
 
-        A permit of a cancelled request is given back.
+        The permit of a cancelled request is returned.
         """
         if permit is None:
             return True
-        while (left := permit.begins - self._clock.now()) > 0:
+        while (remaining := permit.begins - self._clock.now()) > 0:
             if cancelled():
                 self._permits.give_back(permit)
                 return False
-            threading.Event().wait(min(left, WAKE_SECONDS))
+            threading.Event().wait(min(remaining, CANCEL_POLL_SECONDS))
         return True
--- a/boragestream/serving/race.py
+++ b/boragestream/serving/race.py
@@ -1,8 +1,8 @@
-"""Runs an attempt, and a second one beside it where the first is late.
+"""Runs an attempt, and a hedged second attempt if the first one is late.
 
-Each attempt has a future of its own, set once by the attempt alone. The first whole
-answer is the result; the other attempt is cancelled, its connection closed so that
-the server stops, and what it still brings is dropped.
+Each attempt has its own future, which only the attempt sets. The first complete answer
+is the result. The other attempt is cancelled: its connection is closed so that the
+server stops, and any result it still returns is discarded.
 """
 
 from collections.abc import Callable
@@ -22,10 +22,10 @@
     delay: float,
     launch_second: Callable[[], AttemptRun | None],
 ) -> Any | AttemptFailure:
-    """Return the first result, or the last failure where there is none.
+    """Return the first result, or the last failure if every attempt fails.
 
     :param delay: seconds after which a second attempt is launched.
-    :param launch_second: returns the second attempt, or None where it may not be.
+    :param launch_second: returns the second attempt, or None if it is not allowed.
     """
     running = {parts.attempts.submit(first.send): first}
     done, _ = wait(running, timeout=delay)
@@ -46,12 +46,12 @@
 
 def _cancel(losers: dict[Future, AttemptRun]) -> None:
     for future, attempt in losers.items():
-        attempt.lose()
-        future.add_done_callback(_drop)
+        attempt.cancel()
+        future.add_done_callback(_close_stream)
 
 
-def _drop(future: Future) -> None:
-    """Close a stream that was opened although its attempt had lost."""
+def _close_stream(future: Future) -> None:
+    """Close a stream that was opened after its attempt was cancelled."""
     answer = future.result()
     if isinstance(answer, OpenAnswer):
         answer.close()
--- a/boragestream/serving/request_guard.py
+++ b/boragestream/serving/request_guard.py
@@ -1,9 +1,10 @@
-"""Watches over one request: whether it may be sent, and whether it crashed a server.
+"""Checks whether a request may be sent, and whether it crashed a server.
 
-A cut answer is no crash by itself: connections are reset, answers spoilt and servers
-drained. It counts where the server refuses connections right after it, as a process
-that has ended. A server that hangs, refuses or answers with a failure, a link
-that is cut without a word, and a call that was cancelled here don't count.
+A cut answer alone is not a crash: connections are reset, answers corrupted and servers
+drained. A cut counts as a crash if the server refuses connections right after it,
+which shows that its process has ended. A server that hangs, refuses the request or
+answers with a failure does not count, nor does a link that is lost without a reset or
+a call that this entry cancelled.
 """
 
 from boragestream.backend.connections import ConnectionKeeper
@@ -18,17 +19,19 @@
 
 __all__ = ["RequestGuard", "count_crash", "has_crashed"]
 
-# A process that has ended refuses within a round trip; the caller waits for this check.
-CHECK_SECONDS = 0.15
+# The host of an ended process refuses a connection within one round trip. The limit is
+# short because the caller waits for this check.
+CONNECT_TIMEOUT_SECONDS = 0.15
 
 
 def has_crashed(connections: ConnectionKeeper, server: Server) -> bool:
-    """Tell whether a server that has just cut an answer refuses connections.
+    """Return whether a server that has just cut an answer refuses connections.
 
-    One that takes its time may be busy, or behind a link that is cut.
+    A server that does not answer in time may be busy or unreachable over the network,
+    so it does not count as crashed.
     """
     try:
-        connection = connections.connect(server.host, CHECK_SECONDS)
+        connection = connections.connect(server.host, CONNECT_TIMEOUT_SECONDS)
     except ConnectionRefusedError:
         return True
     except OSError:
@@ -38,18 +41,18 @@
 
 
 def count_crash(
-    quarantine: Quarantine, sent_with: CrashRecord, server: Server, request_id: str
+    quarantine: Quarantine, record_at_send: CrashRecord, server: Server, request_id: str
 ) -> None:
     """Count a crash against a request that the server ran, and log it.
 
-    :param sent_with: what was known of the request right before it was sent.
-    :param request_id: empty where the server ran parts of several requests.
+    :param record_at_send: the request's crash record right before it was sent.
+    :param request_id: empty if the server ran pieces of several requests.
     """
-    record = quarantine.note_crash(sent_with)
+    record = quarantine.note_crash(record_at_send)
     emit(
         Event.SERVER_CRASHED,
         request=request_id,
-        fingerprint=sent_with.fingerprint.hex(),
+        fingerprint=record_at_send.fingerprint.hex(),
         server=server.name,
         service=server.service,
         crashes=record.crashes if record is not None else None,
@@ -57,10 +60,10 @@
 
 
 class RequestGuard:
-    """The guard of one request.
+    """Checks and updates the crash record of one request.
 
-    :param request_id: names the request in the log.
-    :param fingerprint: tells the request from others over all its returns.
+    :param request_id: identifies the request in the log.
+    :param fingerprint: identifies the request across all its repeats.
     """
 
     def __init__(
@@ -74,7 +77,7 @@
         self._connections = connections
         self._request_id = request_id
         self._fingerprint = fingerprint
-        self._sent_with: CrashRecord | None = None
+        self._record_at_send: CrashRecord | None = None
         self._was_cut = False
 
     @property
@@ -85,36 +88,41 @@
         return self._quarantine.known(self._fingerprint).crashes > 0
 
     def refusal(self) -> RequestQuarantined | RequestSuspected | None:
-        """Return why the request may not be sent now; None where it may."""
-        self._sent_with = None
+        """Return why the request may not be sent now; None if it may."""
+        self._record_at_send = None
         if self._quarantine.empty:
             return None
         refused = self._quarantine.admit(self._fingerprint, self._was_cut)
         if refused is None:
-            self._sent_with = self._quarantine.known(self._fingerprint)
+            self._record_at_send = self._quarantine.known(self._fingerprint)
         return refused
 
-    def sending(self) -> RequestQuarantined | RequestSuspected | None:
-        """Look again right before the first byte; a crash may have been heard of."""
+    def check_before_send(self) -> RequestQuarantined | RequestSuspected | None:
+        """Repeat the check right before the first byte is sent.
+
+        A peer may have reported a crash since the request was admitted.
+
+        :returns: why the request may not be sent; None if it may.
+        """
         if self._quarantine.empty:
-            self._sent_with = None
+            self._record_at_send = None
             return None
         known = self._quarantine.known(self._fingerprint)
-        admitted = self._sent_with or CrashRecord(self._fingerprint)
+        admitted = self._record_at_send or CrashRecord(self._fingerprint)
         if admitted.rank < known.rank:
             return self.refusal()
-        self._sent_with = known
+        self._record_at_send = known
         return None
 
-    def note_cut(self, server: Server) -> None:
-        """Take that a server cut the answer; count it where the server has crashed."""
+    def check_for_crash(self, server: Server) -> None:
+        """Check whether the server that cut the answer crashed, and count a crash."""
         if not has_crashed(self._connections, server):
             return
         self._was_cut = True
-        sent_with = self._sent_with or CrashRecord(self._fingerprint)
-        count_crash(self._quarantine, sent_with, server, self._request_id)
+        record_at_send = self._record_at_send or CrashRecord(self._fingerprint)
+        count_crash(self._quarantine, record_at_send, server, self._request_id)
 
     def note_answered(self) -> None:
-        """Take that a server answered the request whole."""
+        """Record that a server answered the request completely."""
         if not self._quarantine.empty:
             self._quarantine.note_answered(self._fingerprint)
--- a/tests/features/steps/event_stream.py
+++ b/tests/features/steps/event_stream.py
@@ -26,12 +26,12 @@
 def step(context, parts):
     for part in parts.split(", "):
         if part == "break":
-            context.splitter.drop_rest()
+            context.splitter.discard_partial()
             continue
         word, _, number = part.rpartition(" ")
         event = EVENT % int(number)
         data = {"half": event[:HALF], "rest": event[HALF:], "": event}[word]
-        events = context.splitter.take(data)
+        events = context.splitter.feed(data)
         if isinstance(events, StreamBroken):
             context.broken = events
             return
@@ -55,7 +55,7 @@
     splitter = EventSplitter(None)
     tracemalloc.start()
     for _ in range(count // size):
-        assert splitter.take(b"x" * size) == []
+        assert splitter.feed(b"x" * size) == []
     context.peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
 
