--- a/tests/features/event_stream.feature
+++ b/tests/features/event_stream.feature
@@ -17,7 +17,8 @@
       | 4    | 4, 5                   | 5       | ends whole                 |
       | 4    | 6                      |         | breaks at a gap            |
 
-  # Guards against a long event that holds the processor, as each read joins all before.
+  # Guards against a long event that occupies the processor because each read joins all
+  # parts received before.
   Scenario: an event that comes in small parts is held once
     When 1000000 bytes of an event come in parts of 4096 bytes
     Then at most 1500000 bytes were held at once
--- a/tests/features/steps/event_stream.py
+++ b/tests/features/steps/event_stream.py
@@ -1,4 +1,4 @@
-"""Steps on the splitter of streams."""
+"""Steps that split streams into events."""
 
 import random
 import tracemalloc
@@ -12,7 +12,7 @@
 from boragestream.serving.event_stream import EventSplitter, StreamBroken
 
 EVENT = b"id: %d\ndata: words\n\n"
-HALF = 9
+HALF_EVENT_BYTES = 9
 
 
 @given("a caller that has the events up to {last}")
@@ -30,7 +30,11 @@
             continue
         word, _, number = part.rpartition(" ")
         event = EVENT % int(number)
-        data = {"half": event[:HALF], "rest": event[HALF:], "": event}[word]
+        data = {
+            "half": event[:HALF_EVENT_BYTES],
+            "rest": event[HALF_EVENT_BYTES:],
+            "": event,
+        }[word]
         events = context.splitter.feed(data)
         if isinstance(events, StreamBroken):
             context.broken = events
@@ -46,8 +50,8 @@
     if end == "breaks at a gap":
         assert context.broken is not None
         return
-    half = context.splitter.finish() is not None
-    assert half is (end == "ends with half an event")
+    incomplete = context.splitter.finish() is not None
+    assert incomplete is (end == "ends with half an event")
 
 
 @when("{count:d} bytes of an event come in parts of {size:d} bytes")
--- a/tests/features/steps/forwarded_path.py
+++ b/tests/features/steps/forwarded_path.py
@@ -1,4 +1,4 @@
-"""Steps that send requests through an entry on the platform's forms."""
+"""Steps that send requests through an entry in the platform's wire format."""
 
 import http.client
 import json
@@ -12,15 +12,15 @@
 from tests.standins.fleet import wait_until
 from tests.standins.route_site import HOST, KEY
 
-SECONDS = 10
+TIMEOUT_SECONDS = 10
 
 
 @when('the request "{method}" "{path}" is sent')
 def step(context, method, path):
     body = None if method == "GET" else b"hello"
-    began = time.monotonic()
+    started_at = time.monotonic()
     context.answer = context.site.call(path, method, body)
-    context.seconds = time.monotonic() - began
+    context.seconds = time.monotonic() - started_at
 
 
 @when('the request "{method}" "{path}" is sent with "{header}" as "{value}"')
@@ -46,10 +46,11 @@
     engine = site.of_kind("engine")[0]
     listed = json.loads(site.of_kind("plain")[0].entry())
     listed["addr"] = engine.address
-    context.owner_of_address = engine
+    context.address_holder = engine
     site.store.put("servers/i-ghost", json.dumps(listed).encode())
     wait_until(
-        lambda: [e for e in site.events() if e.get("instances") == 7], what="the list"
+        lambda: [e for e in site.events() if e.get("instances") == 7],
+        what="the server list",
     )
 
 
@@ -57,7 +58,7 @@
 def step(context):
     site = context.site
     assert all(site.runs(answer.request_id) == 1 for answer in context.answers)
-    assert context.owner_of_address.others_asked <= 1
+    assert context.address_holder.others_asked <= 1
     site.store.put("servers/i-ghost", None)
 
 
@@ -87,7 +88,9 @@
 @then("the server that left an event out saw its caller leave")
 def step(context):
     engines = context.site.of_kind("engine")
-    wait_until(lambda: any(engine.cut_off for engine in engines), what="the end")
+    wait_until(
+        lambda: any(engine.cut_off for engine in engines), what="the cancellation"
+    )
     assert False not in [engine.cut_off for engine in engines]
 
 
@@ -108,13 +111,15 @@
 
 @then("each is answered whole and each piece was made once")
 def step(context):
-    made = context.site.piece_counts()
+    counts = context.site.piece_counts()
     for answer in context.answers:
         assert answer.status == 200 and answer.whole, answer.body
-        wanted = {(answer.request_id, 0, n) for n in range(2)}
-        wanted |= {(answer.request_id, 1, n) for n in range(3)}
-        found = {piece: n for piece, n in made.items() if piece[0] == answer.request_id}
-        assert found == dict.fromkeys(wanted, 1), found
+        expected = {(answer.request_id, 0, n) for n in range(2)}
+        expected |= {(answer.request_id, 1, n) for n in range(3)}
+        found = {
+            piece: n for piece, n in counts.items() if piece[0] == answer.request_id
+        }
+        assert found == dict.fromkeys(expected, 1), found
 
 
 @then("the engines were given the results of the last stage alone, each its own")
@@ -182,14 +187,14 @@
 
 @when('a request with "{lengths}" is sent that holds another one')
 def step(context, lengths):
-    hidden = f"POST /unsafe/ok HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: hidden\r\n"
+    smuggled = f"POST /unsafe/ok HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: hidden\r\n"
     head = (
         f"POST /unsafe/ok HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: outer\r\n"
         f"Authorization: Bearer {KEY}\r\n" + lengths.replace(", ", "\r\n")
     )
-    text = f"{head}\r\n\r\n0\r\n\r\n{hidden}Authorization: Bearer {KEY}\r\n\r\n"
+    text = f"{head}\r\n\r\n0\r\n\r\n{smuggled}Authorization: Bearer {KEY}\r\n\r\n"
     host, port = context.site.fields["entry-0"]["listen"]["front"].split(":")
-    with socket.create_connection((host, int(port)), timeout=SECONDS) as sock:
+    with socket.create_connection((host, int(port)), timeout=TIMEOUT_SECONDS) as sock:
         sock.sendall(text.encode())
         context.received = sock.recv(65536)
 
@@ -226,7 +231,7 @@
 @then("it was answered with {status:d} after about {seconds:d} seconds")
 def step(context, status, seconds):
     assert context.answer.status == status
-    # Never before the limit; the upper bound only tells an end from a hang.
+    # An answer before the limit is wrong; the loose upper bound only detects a hang.
     assert seconds - 0.1 < context.seconds < seconds + 5
 
 
@@ -239,7 +244,7 @@
 @when('a caller leaves a stream "{path}" after its first event')
 def step(context, path):
     address = context.site.fields["entry-0"]["listen"]["front"]
-    connection = http.client.HTTPConnection(address, timeout=SECONDS)
+    connection = http.client.HTTPConnection(address, timeout=TIMEOUT_SECONDS)
     headers = {
         "Host": HOST,
         "Request-Id": "leaver",
@@ -256,10 +261,10 @@
 
 @then("the server is at work on it for less than half a second more")
 def step(context):
-    # The stand-in would be at work for several seconds; its entry logs the end.
+    # The stand-in server would run for several seconds more; the entry logs the end.
     def ended():
-        mine = [e for e in context.site.events() if e.get("request") == "leaver"]
-        return [event for event in mine if event["name"] == "request_ended"]
+        own_events = [e for e in context.site.events() if e.get("request") == "leaver"]
+        return [event for event in own_events if event["name"] == "request_ended"]
 
     last = wait_until(ended, what="the end of the request")[-1]
     assert last["outcome"] == "abandoned", last
--- a/tests/features/steps/leaving_before_the_send.py
+++ b/tests/features/steps/leaving_before_the_send.py
@@ -1,4 +1,4 @@
-"""Steps on servers that begin to leave between their choice and the first byte."""
+"""Steps on servers whose state changes between their choice and the first byte."""
 
 import random
 import socket
@@ -55,10 +55,10 @@
 
 
 class Listener:
-    """A server that notes what it is sent, and answers nothing."""
+    """A server that records the bytes it receives and never answers."""
 
     def __init__(self, name):
-        """Listen."""
+        """Listen on a free port and accept connections in a thread."""
         self.socket = socket.create_server((ADDRESS, 0))
         host = f"{ADDRESS}:{self.socket.getsockname()[1]}"
         self.server = Server(name, SERVICE, host, "hall", "1")
@@ -73,31 +73,31 @@
 
 
 class LeavingWhileConnecting(ConnectionKeeper):
-    """Connects to a server that begins to leave meanwhile."""
+    """Makes a server begin to leave while a connection to it is made."""
 
     def __init__(self, servers, leaving):
-        """Take the table that hears of the leave, and the server's host."""
+        """Store the table that is told of the leave, and the server that leaves."""
         super().__init__()
         self.servers, self.leaving = servers, leaving
-        self.happens = self.leave
+        self.on_connect = self.leave
 
     def connect(self, host, seconds):
-        """Connect."""
+        """Connect, then run ``on_connect`` if it is the chosen server."""
         connection = super().connect(host, seconds)
         if host == self.leaving.host:
-            self.happens()
+            self.on_connect()
         return connection
 
     def leave(self):
-        """Have the server begin to leave."""
+        """Record in the table that the server is leaving."""
         self.servers.take_notice(self.leaving.identity)
 
 
 class Wire:
-    """Puts calls on the wire, each with the name of its server."""
+    """Encodes calls with the server's name as the path."""
 
     def encode_piece_call(self, server, pieces):
-        """Return a call's bytes."""
+        """Return the encoded call."""
         return f"POST /{server.name} HTTP/1.1\r\n\r\n".encode()
 
     def read_piece_results(self, body):
@@ -105,12 +105,12 @@
 
 
 def batch_parts(context):
-    """Return what calls of stage servers need."""
+    """Return the dependencies of calls to stage servers."""
     clock = SystemClock()
     return BatchParts(
         line=CallLine(lambda head: None, context.keeper, clock, lambda service: 0),
         format=Wire(),
-        servers=context.known,
+        servers=context.server_table,
         cold=context.cold,
         backoffs=ServerBackoffs(clock),
         limited=context.limited,
@@ -133,9 +133,11 @@
 
 def call_pieces(context, server):
     """Send a batch of pieces."""
-    made = order()
-    queued = QueuedOrder(made, 1e9, 1e9, list(made.pieces))
-    batch = Batch(server, LIMITS, tuple((queued, piece) for piece in made.pieces))
+    piece_order = order()
+    queued = QueuedOrder(piece_order, 1e9, 1e9, list(piece_order.pieces))
+    batch = Batch(
+        server, LIMITS, tuple((queued, piece) for piece in piece_order.pieces)
+    )
     return PieceCalls(batch_parts(context)).make(batch)
 
 
@@ -146,7 +148,7 @@
     parts = SimpleNamespace(
         line=CallLine(lambda head: None, context.keeper, clock, lambda service: 0),
         encode=lambda request, call, host: b"GET / HTTP/1.1\r\n\r\n",
-        servers=context.known,
+        servers=context.server_table,
         cold=context.cold,
         backoffs=ServerBackoffs(clock),
         limited=context.limited,
@@ -175,7 +177,7 @@
 
 
 def call_stage(context, server):
-    """Send a stage's attempt."""
+    """Send an attempt of a stage."""
     clock = SystemClock()
     request = SimpleNamespace(
         request_id="r-1",
@@ -196,7 +198,7 @@
     parts = SimpleNamespace(
         clock=clock,
         loads=context.loads,
-        servers=context.known,
+        servers=context.server_table,
         backoffs=ServerBackoffs(clock),
         limited=context.limited,
         connections=context.keeper,
@@ -217,12 +219,12 @@
 
 
 def listen(context, *names):
-    """Have servers listen, of which the first leaves while it is connected to."""
+    """Start servers; the first one leaves while a connection to it is made."""
     context.listeners = [Listener(name) for name in names]
     servers = [listener.server for listener in context.listeners]
-    context.known = ServerTable()
-    context.known.take_list(servers)
-    # The cold servers tolerate nothing here.
+    context.server_table = ServerTable()
+    context.server_table.take_list(servers)
+    # Cold servers are allowed no request here.
     context.cold = ColdServers(
         "e",
         lambda service: ColdBound(1.0, 1.0, 9.0),
@@ -233,7 +235,7 @@
     context.loads = LoadTable(SystemClock(), random.Random(1))
     context.loads.take_list(servers)
     context.limited = lone_limits(SystemClock())
-    context.keeper = LeavingWhileConnecting(context.known, servers[0])
+    context.keeper = LeavingWhileConnecting(context.server_table, servers[0])
     context.quarantine = Quarantine("e", lambda: ["e"], SystemClock())
     context.guard = RequestGuard(context.quarantine, context.keeper, "r-1", FINGERPRINT)
 
@@ -254,7 +256,9 @@
 def step(context):
     context.server = context.listeners[0].server
     centre = context.server.data_centre
-    context.keeper.happens = lambda: context.known.take_drained(frozenset({centre}))
+    context.keeper.on_connect = lambda: context.server_table.take_drained(
+        frozenset({centre})
+    )
     context.failure = context.call(context, context.server)
 
 
@@ -262,7 +266,7 @@
 def step(context):
     context.server = context.listeners[0].server
     cold = replace(context.server, cold_seconds=9.0)
-    context.keeper.happens = lambda: context.cold.take(cold)
+    context.keeper.on_connect = lambda: context.cold.take(cold)
     context.failure = context.call(context, context.server)
 
 
@@ -270,7 +274,9 @@
 def step(context):
     context.server = context.listeners[0].server
     limits = context.limited.limits
-    context.keeper.happens = lambda: limits.note_answer(context.server, 1.0, 0.0, True)
+    context.keeper.on_connect = lambda: limits.note_answer(
+        context.server, 1.0, 0.0, True
+    )
     context.failure = context.call(context, context.server)
 
 
@@ -278,8 +284,8 @@
 def step(context):
     context.server = context.listeners[0].server
     assert context.guard.refusal() is None
-    heard = CrashRecord(FINGERPRINT, crashes=CRASHES_TO_QUARANTINE)
-    context.keeper.happens = lambda: context.quarantine.take(heard, 0.0)
+    record = CrashRecord(FINGERPRINT, crashes=CRASHES_TO_QUARANTINE)
+    context.keeper.on_connect = lambda: context.quarantine.take(record, 0.0)
     context.failure = context.call(context, context.server)
 
 
@@ -294,12 +300,12 @@
 @when("its data centre is drained and {word} is due")
 def step(context, word):
     server = context.listeners[0].server
-    context.known.take_drained(frozenset({server.data_centre}))
+    context.server_table.take_drained(frozenset({server.data_centre}))
     send_message(context, server, word)
 
 
 def send_message(context, server, word):
-    """Send a server something that is no call for pieces."""
+    """Send a server a message other than a call for pieces."""
     calls = PieceCalls(batch_parts(context))
     if word == "a release of results":
         calls.release(server, ("handle",))
--- a/tests/features/steps/server_words.py
+++ b/tests/features/steps/server_words.py
@@ -1,4 +1,4 @@
-"""Steps on what backend servers say with their answers."""
+"""Steps on leave notices and back-off requests in the answers of servers."""
 
 import time
 from collections import Counter
@@ -7,18 +7,18 @@
 
 from tests.standins.fleet import wait_until
 
-MOST_CALLS = 60
-# A call that was on its way when the server answered still arrives in this time.
-ON_ITS_WAY_SECONDS = 0.5
+MAX_CALLS = 60
+# A call in flight when the server answers still arrives within this time.
+IN_FLIGHT_SECONDS = 0.5
 ENTRY, OTHER_ENTRY = "entry-0", "entry-1"
-AT_ONCE_SECONDS = 0.3
-# Between two requests, so that what has to be repeated stays within its bound.
-GAP_SECONDS = 0.02
-SIDE_BY_SIDE_GAP_SECONDS = 0.1
+IMMEDIATE_REPLY_SECONDS = 0.3
+# Pause between two requests, which keeps the retries within their limit.
+REQUEST_GAP_SECONDS = 0.02
+CONCURRENT_GAP_SECONDS = 0.1
 
 
 def send(context, path, entry=ENTRY):
-    """Send one request of its own."""
+    """Send a request with a number and body that no other request has."""
     context.number = getattr(context, "number", 0) + 1
     method = "GET" if path.startswith("/safe") else "POST"
     body = None if method == "GET" else f"body {context.number}".encode()
@@ -37,11 +37,11 @@
 
 @when('requests "{path}" are sent until it has answered one')
 def step(context, path):
-    for _ in range(MOST_CALLS):
+    for _ in range(MAX_CALLS):
         send(context, path)
         if context.server.arrivals:
             return
-    raise AssertionError("it was never called")
+    raise AssertionError(f"server received no call in {MAX_CALLS} requests")
 
 
 @then('of the next {count:d} requests "{path}" to that entry none reaches it')
@@ -55,13 +55,13 @@
 
 @then("soon none of the other entry does")
 def step(context):
-    def unreached():
+    def not_reached():
         before = len(context.server.arrivals)
         for _ in range(4):
             send(context, context.path, OTHER_ENTRY)
         return len(context.server.arrivals) == before
 
-    wait_until(unreached, seconds=2.0, what="the other entry to know")
+    wait_until(not_reached, seconds=2.0, what="the other entry to avoid the server")
 
 
 @given('a "{kind}" server that turns calls away and asks for "{pause}" seconds')
@@ -85,23 +85,25 @@
     context.answers = []
     until = time.monotonic() + seconds
     while time.monotonic() < until:
-        began = time.monotonic()
-        context.answers.append((send(context, path), began, time.monotonic() - began))
-        time.sleep(GAP_SECONDS)
+        started_at = time.monotonic()
+        context.answers.append(
+            (send(context, path), started_at, time.monotonic() - started_at)
+        )
+        time.sleep(REQUEST_GAP_SECONDS)
 
 
 @when('requests "{path}" are sent side by side for {seconds:g} seconds')
 def step(context, path, seconds):
     context.answers = []
-    count = int(seconds / SIDE_BY_SIDE_GAP_SECONDS)
+    count = int(seconds / CONCURRENT_GAP_SECONDS)
 
-    def one(number):
-        time.sleep(number * SIDE_BY_SIDE_GAP_SECONDS)
-        began = time.monotonic()
+    def send_delayed(number):
+        time.sleep(number * CONCURRENT_GAP_SECONDS)
+        started_at = time.monotonic()
         answer = send(context, path)
-        context.answers.append((answer, began, time.monotonic() - began))
+        context.answers.append((answer, started_at, time.monotonic() - started_at))
 
-    context.site.at_once(count, one)
+    context.site.at_once(count, send_delayed)
     context.answers.sort(key=lambda sent: sent[1])
 
 
@@ -109,7 +111,7 @@
 def step(context, most):
     server = context.server
     first, pause = server.arrivals[0], float(server.pause)
-    inside = [at for at in server.arrivals if ON_ITS_WAY_SECONDS < at - first < pause]
+    inside = [at for at in server.arrivals if IN_FLIGHT_SECONDS < at - first < pause]
     assert len(inside) <= most, len(inside)
     statuses = Counter(answer.status for answer, _, _ in context.answers)
     assert set(statuses) == {200}, statuses
@@ -131,18 +133,21 @@
         assert send(context, path).status == 200
         return len(context.server.arrivals) > before
 
-    wait_until(reached, what="a call of the server")
+    wait_until(reached, what="a call to the server")
 
 
 @then("the later ones are refused at once, to come back at the earliest end")
 def step(context):
     first = context.answers[0][1]
-    later = [a for a in context.answers if a[1] - first > ON_ITS_WAY_SECONDS]
+    later = [a for a in context.answers if a[1] - first > IN_FLIGHT_SECONDS]
     assert later
-    for answer, began, took in later:
-        assert answer.status == 503 and took < AT_ONCE_SECONDS, (answer.status, took)
+    for answer, started_at, elapsed in later:
+        assert answer.status == 503 and elapsed < IMMEDIATE_REPLY_SECONDS, (
+            answer.status,
+            elapsed,
+        )
         wait = float(answer.headers["Retry-After"])
-        left = first + context.pause - began
+        left = first + context.pause - started_at
         assert left - 0.3 < wait < left + 0.6, (wait, left)
 
 
