--- a/tests/features/steps/event_stream.py
+++ b/tests/features/steps/event_stream.py
@@ -1,4 +1,4 @@
-"""Steps on the splitter of streams."""
+"""Steps that split streams into events."""
 
 import random
 import tracemalloc
@@ -12,7 +12,7 @@
 from boragestream.serving.event_stream import EventSplitter, StreamBroken
 
 EVENT = b"id: %d\ndata: words\n\n"
-HALF = 9
+HALF_EVENT_BYTES = 9
 
 
 @given("a caller that has the events up to {last}")
@@ -26,12 +26,16 @@
 def step(context, parts):
     for part in parts.split(", "):
         if part == "break":
-            context.splitter.drop_rest()
+            context.splitter.discard_partial()
             continue
         word, _, number = part.rpartition(" ")
         event = EVENT % int(number)
-        data = {"half": event[:HALF], "rest": event[HALF:], "": event}[word]
-        events = context.splitter.take(data)
+        data = {
+            "half": event[:HALF_EVENT_BYTES],
+            "rest": event[HALF_EVENT_BYTES:],
+            "": event,
+        }[word]
+        events = context.splitter.feed(data)
         if isinstance(events, StreamBroken):
             context.broken = events
             return
@@ -46,8 +50,8 @@
     if end == "breaks at a gap":
         assert context.broken is not None
         return
-    half = context.splitter.finish() is not None
-    assert half is (end == "ends with half an event")
+    incomplete = context.splitter.finish() is not None
+    assert incomplete is (end == "ends with half an event")
 
 
 @when("{count:d} bytes of an event come in parts of {size:d} bytes")
@@ -55,7 +59,7 @@
     splitter = EventSplitter(None)
     tracemalloc.start()
     for _ in range(count // size):
-        assert splitter.take(b"x" * size) == []
+        assert splitter.feed(b"x" * size) == []
     context.peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
 
