--- a/bench/quarantine.py
+++ b/bench/quarantine.py
@@ -11,7 +11,7 @@
 from boragestream.base.clock import SystemClock
 from boragestream.entry.quarantine import QuarantinePart
 from boragestream.policy.fingerprints import fingerprint
-from boragestream.policy.quarantine import MOST_RECORDS, CrashRecord, Quarantine
+from boragestream.policy.quarantine import MAX_RECORDS, CrashRecord, Quarantine
 
 ROUNDS = 2000
 ROOM = 250
@@ -56,7 +56,7 @@
         },
         "offer_empty": offer_micros(0, 0),
         "offer_100": offer_micros(100, 4),
-        "offer_full": offer_micros(MOST_RECORDS, 40),
+        "offer_full": offer_micros(MAX_RECORDS, 40),
         "admit_quarantined_us": admit_micros(),
     }
     print(json.dumps(result))
--- a/boragestream/policy/account_gate.py
+++ b/boragestream/policy/account_gate.py
@@ -1,6 +1,6 @@
-"""What admission asks of the client accounts' own limits.
+"""The interface through which admission enforces the client accounts' limits.
 
-How much of a limit is this entry's share is told by ``policy.account_limits``.
+``policy.account_limits`` determines this entry's share of each limit.
 """
 
 from typing import Protocol
@@ -12,21 +12,25 @@
 
 
 class AccountGate(Protocol):
-    """Holds the client accounts' own limits."""
+    """Enforces the client accounts' limits."""
 
     def enter(self, account: ClientAccount) -> tuple[AccountLimitReached, float] | None:
-        """Count a request in, or say why not and after how many seconds to return."""
+        """Admit and count a request, or return the limit that refuses it.
+
+        :returns: None if admitted; otherwise the limit and the seconds to wait before
+            a retry.
+        """
 
     def leave(self, account: ClientAccount) -> None:
-        """Count a request out."""
+        """Stop counting a request that was admitted."""
 
 
 class OpenGate:
-    """Holds no limits."""
+    """Enforces no limits."""
 
     def enter(self, account: ClientAccount) -> tuple[AccountLimitReached, float] | None:
-        """Let every request in."""
+        """Admit every request."""
         return None
 
     def leave(self, account: ClientAccount) -> None:
-        """Count nothing."""
+        """Do nothing, because requests are not counted."""
--- a/boragestream/policy/account_limits.py
+++ b/boragestream/policy/account_limits.py
@@ -1,10 +1,11 @@
-"""Holds the client accounts' own limits over all entries, without shared state.
+"""Enforces the client accounts' limits over all entries without shared state.
 
 Each entry holds a share of every limit; the shares follow the demand that the entries
-report to each other. A silent entry's share stays its own until its report expires.
-With fresh reports the shares add up to no more than the limit. A partition into k
-sides lasts longer than a lease at worst, and then each side holds the whole limit: k
-times the limit are let in. docs/design/admission.md derives and measures this.
+report to each other. An entry that stops reporting keeps its share until its report
+expires. With fresh reports the shares add up to no more than the limit. If a partition
+into k sides lasts longer than a lease, each side holds the whole limit in the worst
+case, so that k times the limit is admitted. docs/design/admission.md has the derivation
+and the measurements.
 """
 
 import math
@@ -24,29 +25,34 @@
 __all__ = ["AccountLimits", "account_key"]
 
 REFRESH_SECONDS = 0.2
-DEMAND_SECONDS = 2.0
-MIN_DEMAND_SECONDS = 0.5
-# A process that did nothing for so long was paused: the others may have taken over its
-# shares, and what it knows of theirs is old.
+MEASUREMENT_SECONDS = 2.0
+MIN_MEASUREMENT_SECONDS = 0.5
+# A process that was inactive for this long was suspended: other entries may have taken
+# over its shares, and its records of theirs are outdated.
 PAUSE_SECONDS = LEASE_SECONDS / 2
-# Slots come free when any request ends; nobody knows when that is.
-SLOT_SECONDS = 0.5
-MAX_SECONDS = 10.0
+# The retry delay at the concurrency limit. A slot becomes free when any request ends,
+# and that time is not predictable.
+SLOT_RETRY_SECONDS = 0.5
+MAX_RETRY_SECONDS = 10.0
 
 
 def account_key(name: str) -> int:
-    """Return the short form of an account's name in reports."""
+    """Return the 32-bit hash that identifies an account in reports."""
     return xxhash.xxh32_intdigest(name.encode())
 
 
 @dataclass(slots=True)
 class AccountState:
-    """One account at this entry.
-
-    :ivar rate: the demand as it was last reported, requests in a second.
-    :ivar wanted: the demand as it was last reported, requests in hand.
-    :ivar arrived: requests since ``counted_from``.
-    :ivar most_wanted: the most that would have been in hand since then.
+    """The state of one account at this entry.
+
+    :ivar in_hand: the admitted requests that have not ended.
+    :ivar slots: the number of requests that this entry may have in hand at once; None
+        without a concurrency limit.
+    :ivar arrived: the requests that have arrived since ``counted_from``.
+    :ivar peak_wanted: the highest number of requests in hand since ``counted_from``, if
+        all had been admitted.
+    :ivar reported_rate: the demand as last reported, in requests per second.
+    :ivar reported_wanted: the demand as last reported, in requests in hand.
     """
 
     account: ClientAccount
@@ -56,14 +62,14 @@
     in_hand: int = 0
     slots: int | None = None
     arrived: int = 0
-    most_wanted: int = 0
-    rate: float = 0.0
-    wanted: int = 0
+    peak_wanted: int = 0
+    reported_rate: float = 0.0
+    reported_wanted: int = 0
     demand: AccountDemand = AccountDemand()
 
 
 class AccountLimits:
-    """The limits at one entry.
+    """The enforcement of the accounts' limits at one entry.
 
     :param own: this entry's name.
     :param table: the reports of the other entries.
@@ -78,7 +84,11 @@
         self._lock = threading.Lock()
 
     def enter(self, account: ClientAccount) -> tuple[AccountLimitReached, float] | None:
-        """Count a request in, or say why not and after how many seconds to return."""
+        """Admit and count a request, or return the limit that refuses it.
+
+        :returns: None if admitted; otherwise the limit and the seconds to wait before
+            a retry.
+        """
         if account.requests_per_second is None and account.concurrency is None:
             return None
         now = self._clock.now()
@@ -86,34 +96,34 @@
             self._note_active(now)
             state = self._state(account, now)
             state.arrived += 1
-            state.most_wanted = max(state.most_wanted, state.in_hand + 1)
+            state.peak_wanted = max(state.peak_wanted, state.in_hand + 1)
             if state.slots is not None and state.in_hand >= state.slots:
                 reached = AccountLimitReached(account.name, "concurrency")
-                return reached, SLOT_SECONDS
+                return reached, SLOT_RETRY_SECONDS
             if account.requests_per_second is not None and not state.bucket.take(now):
                 reached = AccountLimitReached(account.name, "requests_per_second")
-                return reached, min(MAX_SECONDS, state.bucket.seconds_to_next())
+                return reached, min(MAX_RETRY_SECONDS, state.bucket.seconds_to_next())
             state.in_hand += 1
         return None
 
     def leave(self, account: ClientAccount) -> None:
-        """Count a request out."""
+        """Stop counting a request that was admitted."""
         with self._lock:
             state = self._accounts.get(account.name)
             if state is not None:
                 state.in_hand = max(0, state.in_hand - 1)
 
     def demands(self) -> dict[int, AccountDemand]:
-        """Return what to report: every account that has limits and was seen here."""
+        """Return the demand to report, by account with limits that sent requests."""
         now = self._clock.now()
         with self._lock:
             self._note_active(now)
             for state in self._accounts.values():
-                state.rate, state.wanted = _measure(state, now)
-                self._hold(state, now)
+                state.reported_rate, state.reported_wanted = _measure(state, now)
+                self._update_shares(state, now)
             return {account_key(n): s.demand for n, s in self._accounts.items()}
 
-    def held(self, account: ClientAccount) -> tuple[float, int]:
+    def shares(self, account: ClientAccount) -> tuple[float, int]:
         """Return this entry's shares of an account's rate and concurrency."""
         now = self._clock.now()
         with self._lock:
@@ -138,13 +148,13 @@
 
     def _refresh(self, state: AccountState, now: float) -> None:
         if now - state.refreshed_at >= REFRESH_SECONDS:
-            self._hold(state, now)
+            self._update_shares(state, now)
 
-    def _hold(self, state: AccountState, now: float) -> None:
-        """Hold the shares that follow from the reports, this entry's own included.
+    def _update_shares(self, state: AccountState, now: float) -> None:
+        """Update this entry's shares from all reports, its own included.
 
-        The own demand counts as it was last reported and not as it is now, so that
-        all entries split the limit by the same figures.
+        Its own demand counts as last reported, not as it is now, so that all entries
+        split the limit by the same figures.
         """
         state.refreshed_at = now
         fresh = [report for _, report in self._table.fresh().values()]
@@ -155,7 +165,9 @@
         slots = self._next_slots(state, others, awaited)
         state.bucket.set_rate(rate, now)
         state.slots = slots
-        state.demand = AccountDemand(state.rate, state.wanted, rate, slots or 0)
+        state.demand = AccountDemand(
+            state.reported_rate, state.reported_wanted, rate, slots or 0
+        )
 
     def _next_rate(
         self, state: AccountState, others: Mapping[str, AccountDemand], awaited: int
@@ -163,9 +175,12 @@
         limit = state.account.requests_per_second
         if limit is None:
             return 0.0
-        # An entry that has not reported yet is taken to hold an even share.
+        # An entry that has not reported yet is assumed to hold an even share.
         limit -= awaited * limit / (1 + len(others) + awaited)
-        demands = {self._own: state.rate, **{n: d.rate for n, d in others.items()}}
+        demands = {
+            self._own: state.reported_rate,
+            **{n: d.rate for n, d in others.items()},
+        }
         target = split(limit, demands)[self._own]
         held = sum(d.held_rate for d in others.values())
         return next_share(limit, target, state.bucket.rate, held)
@@ -177,21 +192,26 @@
         if limit is None:
             return None
         limit -= math.ceil(awaited * limit / (1 + len(others) + awaited))
-        demands = {self._own: state.wanted, **{n: d.slots for n, d in others.items()}}
+        demands = {
+            self._own: state.reported_wanted,
+            **{n: d.slots for n, d in others.items()},
+        }
         target = split_whole(limit, demands)[self._own]
         held = sum(d.held_slots for d in others.values())
         return max(0, int(next_share(limit, target, state.slots or 0, held)))
 
 
 def _measure(state: AccountState, now: float) -> tuple[float, int]:
-    """Return the demand; a new count begins after ``DEMAND_SECONDS``."""
-    seconds = max(now - state.counted_from, MIN_DEMAND_SECONDS)
+    """Return the demand; after ``MEASUREMENT_SECONDS`` a new measurement starts."""
+    seconds = max(now - state.counted_from, MIN_MEASUREMENT_SECONDS)
     latest = state.arrived / seconds
-    if seconds < DEMAND_SECONDS:
-        # A rise counts at once; a fall only when a whole count shows it.
-        return max(state.rate, latest), max(state.wanted, state.most_wanted)
-    wanted = state.most_wanted
+    if seconds < MEASUREMENT_SECONDS:
+        # A rise counts at once; a fall counts only after a complete measurement.
+        return max(state.reported_rate, latest), max(
+            state.reported_wanted, state.peak_wanted
+        )
+    wanted = state.peak_wanted
     state.arrived = 0
-    state.most_wanted = state.in_hand
+    state.peak_wanted = state.in_hand
     state.counted_from = now
     return latest, wanted
--- a/boragestream/policy/costs.py
+++ b/boragestream/policy/costs.py
@@ -1,8 +1,8 @@
-"""What requests cost the backend servers, by client account and stage.
+"""The cost of requests on the backend servers, by client account and stage.
 
-The seconds are those that an entry waited for a server, so that time on the network
-and in the server's own queue is included. Putting the figures on a page is left to
-``operator`` and the entry's status.
+The cost is the time in seconds that an entry waited for a server, including the time on
+the network and in the server's own queue. ``operator`` and the entry's status display
+the figures.
 """
 
 import threading
@@ -13,7 +13,7 @@
 
 
 class Purpose(Enum):
-    """Why an attempt was made."""
+    """The reason for an attempt."""
 
     FIRST = "first"
     RETRY = "retry"
@@ -21,7 +21,7 @@
 
 
 class Spent(Enum):
-    """What became of the seconds of an attempt; the values name the counters."""
+    """How the seconds of an attempt were used; the values name the counters."""
 
     USED = "used_seconds"
     LATE = "late_seconds"
@@ -34,13 +34,13 @@
 class StageCost:
     """The cost of one stage for one client account.
 
-    :ivar attempts: attempts of every purpose.
-    :ivar used_seconds: for answers that were used.
-    :ivar late_seconds: wasted, since the deadline passed first.
-    :ivar hedged_seconds: wasted on the losers of hedges.
-    :ivar failed_seconds: wasted on attempts that failed, whether retried or not.
-    :ivar cancelled_seconds: wasted, since the caller went away or another stage of
-        the request failed.
+    :ivar attempts: the number of attempts of every purpose.
+    :ivar used_seconds: the time of answers that were used.
+    :ivar late_seconds: the time wasted because the deadline passed first.
+    :ivar hedged_seconds: the time wasted on the slower attempts of hedged calls.
+    :ivar failed_seconds: the time wasted on failed attempts, whether retried or not.
+    :ivar cancelled_seconds: the time wasted because the caller disconnected or another
+        stage of the request failed.
     """
 
     attempts: int = 0
@@ -54,7 +54,7 @@
 
 
 class CostTable:
-    """The costs by client account and stage, the latter as ``pipeline.stage``."""
+    """The costs by client account and by stage, named ``pipeline.stage``."""
 
     def __init__(self) -> None:
         self._costs: dict[tuple[str, str], StageCost] = {}
@@ -63,7 +63,7 @@
     def add(
         self, account: str, stage: str, purpose: Purpose, spent: Spent, seconds: float
     ) -> None:
-        """Count one attempt that has ended."""
+        """Add one attempt that has ended."""
         with self._lock:
             cost = self._costs.setdefault((account, stage), StageCost())
             cost.attempts += 1
@@ -72,9 +72,9 @@
             setattr(cost, spent.value, getattr(cost, spent.value) + seconds)
 
     def snapshot(self) -> dict[str, dict[str, StageCost]]:
-        """Return the costs by client account, then by stage, for status pages."""
-        pages: dict[str, dict[str, StageCost]] = {}
+        """Return a copy of the costs by client account, then by stage."""
+        by_account: dict[str, dict[str, StageCost]] = {}
         with self._lock:
             for (account, stage), cost in self._costs.items():
-                pages.setdefault(account, {})[stage] = replace(cost)
-        return pages
+                by_account.setdefault(account, {})[stage] = replace(cost)
+        return by_account
--- a/boragestream/policy/engine_delays.py
+++ b/boragestream/policy/engine_delays.py
@@ -1,9 +1,9 @@
-"""How long engines have taken to their first event lately, by kind of request.
+"""Estimates the time that engines take to their first event, by route.
 
-A chain is planned backwards from its objective, and what it keeps back for the engine
-decides how many answers are late. With a fixed quarter of a second, an eighth of the
-answers of long prompts came late although their stages were done in time. What is kept
-back is the mean and twice the mean deviation, so that few take longer.
+A request's stages are planned backwards from its latency objective. The time reserved
+for the engine therefore decides how many answers are late: with a fixed 0.25 s, an
+eighth of the answers to long prompts were late although their stages ended in time. The
+reserve is the mean plus twice the mean deviation, which few calls exceed.
 """
 
 import threading
@@ -11,13 +11,14 @@
 
 __all__ = ["EngineDelays"]
 
-# What an engine needs where nothing is known yet.
-USUAL_SECONDS = 0.25
+# The reserve for a route without observations.
+DEFAULT_SECONDS = 0.25
 SMOOTHING = 0.1
-DEVIATIONS = 2.0
-LEAST_SECONDS = 0.1
-# No single slow engine may make all chains of a kind look hopeless.
-MOST_SECONDS = 0.6
+DEVIATION_FACTOR = 2.0
+MIN_SECONDS = 0.1
+# The upper limit keeps one slow engine from making every request of a route appear to
+# miss its objective.
+MAX_SECONDS = 0.6
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,33 +27,33 @@
     deviation: float
 
 
-# What is kept back with it is the usual time.
-FIRST_DELAY = _Delay(USUAL_SECONDS / 2, USUAL_SECONDS / 4)
+# With these figures the reserve equals ``DEFAULT_SECONDS``.
+INITIAL_DELAY = _Delay(DEFAULT_SECONDS / 2, DEFAULT_SECONDS / 4)
 
 
 class EngineDelays:
-    """The delays by route, as this entry has seen them; any thread may ask."""
+    """The delays by route that this entry has observed; thread-safe."""
 
     def __init__(self) -> None:
         self._delays: dict[str, _Delay] = {}
         self._lock = threading.Lock()
 
     def note(self, route: str, seconds: float) -> None:
-        """Take the seconds from a call to its first event."""
+        """Record the seconds from a call to its first event."""
         with self._lock:
-            known = self._delays.get(
-                route, _Delay(USUAL_SECONDS / 2, USUAL_SECONDS / 4)
+            current = self._delays.get(
+                route, _Delay(DEFAULT_SECONDS / 2, DEFAULT_SECONDS / 4)
             )
-            off = seconds - known.mean
+            difference = seconds - current.mean
             self._delays[route] = _Delay(
-                known.mean + SMOOTHING * off,
-                known.deviation + SMOOTHING * (abs(off) - known.deviation),
+                current.mean + SMOOTHING * difference,
+                current.deviation + SMOOTHING * (abs(difference) - current.deviation),
             )
 
     def expected(self, route: str) -> float:
-        """Return the seconds to keep back for a call of a route."""
-        known = self._delays.get(route)
-        if known is None:
-            return USUAL_SECONDS
-        kept = known.mean + DEVIATIONS * known.deviation
-        return min(MOST_SECONDS, max(LEAST_SECONDS, kept))
+        """Return the seconds to reserve for a call of a route."""
+        delay = self._delays.get(route)
+        if delay is None:
+            return DEFAULT_SECONDS
+        reserve = delay.mean + DEVIATION_FACTOR * delay.deviation
+        return min(MAX_SECONDS, max(MIN_SECONDS, reserve))
--- a/boragestream/policy/fingerprints.py
+++ b/boragestream/policy/fingerprints.py
@@ -1,7 +1,8 @@
-"""What tells a request from others over all its returns, under whatever ids.
+"""Fingerprints that identify a request each time it returns, whatever its ids.
 
-A digest of what decides what runs and of who asks. Ids, deadlines and what a caller
-tells of itself are left out: they differ from one return to the next.
+A fingerprint is a digest of the client account and of the content that determines what
+runs. Ids, deadlines and what a caller states about itself are left out because they
+differ from one return to the next.
 """
 
 import hashlib
@@ -19,11 +20,12 @@
 
 
 def fingerprint(*parts: str | bytes) -> bytes:
-    """Return the digest of some parts in their order."""
+    """Return the digest of a sequence of parts."""
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in parts:
         data = part.encode() if isinstance(part, str) else part
-        # The length keeps two parts from being shifted into one another.
+        # The length prefix ensures that different divisions into parts give different
+        # digests.
         digest.update(len(data).to_bytes(4, "big"))
         digest.update(data)
     return digest.digest()
@@ -32,7 +34,7 @@
 def request_fingerprint(account: str, request: ForwardedRequest) -> bytes:
     """Return the fingerprint of a forwarded request.
 
-    :param account: the client account's name; empty where there is none.
+    :param account: the client account's name; empty if there is none.
     """
     asked = (request.method, request.host, request.target, request.body)
     return fingerprint(account, *asked)
@@ -41,6 +43,7 @@
 def stage_fingerprint(request: bytes, service: str) -> bytes:
     """Return the fingerprint of a request's pieces at a stage service.
 
-    What was cut there beside others says nothing of the call that follows the stages.
+    It differs from the request's own fingerprint: a piece that is cut at the stage
+    service together with other pieces says nothing about the call after the stages.
     """
     return fingerprint(request, service)
--- a/boragestream/policy/overdue_calls.py
+++ b/boragestream/policy/overdue_calls.py
@@ -1,35 +1,35 @@
-"""When the answer to a call of a stage server is taken for lost.
-
-Load pattern: servers run calls and their answers get lost on the way, without a reset.
-A stage server works on one call at a time, so that one whose answer never comes looks
-busy for as long as the call is waited for, while it has nothing to do: with three
-answers in ten lost and a wait of two seconds and more a call, half of a service's work
-is not done. A slow server looks the same from outside. It is told apart by asking the
-server itself, which says whether it works on anything.
+"""Detects calls of stage servers whose answers were lost.
+
+Load pattern: servers run calls, and their answers are lost in transit without a
+connection reset. A stage server runs one call at a time, so that a server whose answer
+was lost appears busy until the call times out, although it is idle. With three answers
+in ten lost and time-outs of two seconds and more, half of a service's work is not done.
+From outside, a slow server looks the same. To distinguish the two, the server is
+queried for whether it is working on a call.
 """
 
 from boragestream.document.calls import StageReport
 
 __all__ = ["ASK_AGAIN_SECONDS", "answer_is_lost", "ask_after_seconds"]
 
-# A server is asked once its call has taken half as long again as usual, and so many
-# seconds more: reports are some hundred milliseconds old, and one from before the call
-# began would say that there is nothing to do.
+# A server is queried when its call has taken 1.5 times its usual duration plus an
+# allowance for the age of reports: they are a few hundred milliseconds old, and one from
+# before the call started would state that the server is idle.
 OVERDUE_FACTOR = 1.5
 REPORT_AGE_SECONDS = 0.4
-# A server that is still at work is asked again after this long; each question is
-# counted, and saves nothing where the server is only slow.
+# The interval between queries to a server that is still working. Each query is counted,
+# and queries to a server that is merely slow gain nothing.
 ASK_AGAIN_SECONDS = 0.5
 
 
 def ask_after_seconds(usual_seconds: float) -> float:
-    """Return how long after its beginning a call's server is asked about it.
+    """Return how long after a call's start its server is queried about it.
 
-    :param usual_seconds: what the call takes on a server that is not slow.
+    :param usual_seconds: the duration of the call on a server that is not slow.
     """
     return OVERDUE_FACTOR * usual_seconds + REPORT_AGE_SECONDS
 
 
 def answer_is_lost(report: StageReport) -> bool:
-    """Tell whether a server has nothing to do, though a call of it is open."""
+    """Return whether a server that has an open call reports that it is idle."""
     return not report.working and report.queued == 0
--- a/boragestream/policy/quarantine.py
+++ b/boragestream/policy/quarantine.py
@@ -1,24 +1,25 @@
-"""Requests that crash the backend servers that run them, and who may still send them.
-
-Load pattern: one request comes again and again, at any entry and under new ids, and
-each server that begins to run it ends. Whatever ran beside it is cut as well, is sent
-once more, and may meet it again. Requests are told apart by a fingerprint of what
-decides what runs.
-
-What is counted are crashes in a row: an attempt that is cut by a crash raises the count
-to one more than was known when it was sent. Servers that are lost together so count
-once for a request that ran on all of them, and an answer of any server ends the row.
-With the second crash in a row a request is quarantined. One crash less would strike all
-that ran beside the cause; one more would cost a small service its last server.
-
-After the first crash whatever was cut goes on at once. Other copies of the request, at
-whatever entry, take turns: several entries that hold one each would lose a server each.
-A quarantine ends with a probe, and there too each entry has turns of its own, so that
-the outcome of one is known to the others before theirs. A probe that crashes its server
-begins a longer quarantine.
-
-Left out: how a crash is noticed (``serving.request_guard``), how entries tell one
-another (``entry.quarantine``).
+"""Quarantines requests that crash the backend servers that run them.
+
+Load pattern: one request comes repeatedly, at any entry and under new ids, and each
+server that starts to run it crashes. The crash also cuts the other requests on that
+server; they are sent again and may run beside the same request again. Requests are
+identified by a fingerprint of the content that determines what runs.
+
+The number of consecutive crashes is counted: an attempt that is cut by a crash sets the
+count to one more than was recorded when the attempt was sent. Servers that are lost
+together therefore count once for a request that ran on all of them. An answer from any
+server resets the count. The second consecutive crash quarantines a request. A threshold
+of one would also block the requests that ran beside the cause; a threshold of three
+would cost a small service its last server.
+
+After the first crash, the attempts that were cut are sent again at once. Other copies
+of the request, at any entry, are sent in turns: otherwise several entries that hold one
+copy each would lose a server each. A quarantine ends with a probe, for which each entry
+has turns of its own too, so that the other entries learn the outcome before their turns
+begin. A probe that crashes its server starts a longer quarantine.
+
+``serving.request_guard`` detects crashes, and ``entry.quarantine`` exchanges the
+records between entries.
 """
 
 import heapq
@@ -39,32 +40,34 @@
 ]
 
 CRASHES_TO_QUARANTINE = 2
-# A server that was wrongly held against a request has long been replaced by then.
+# Long enough to replace a server whose crash was wrongly attributed to a request.
 FIRST_QUARANTINE_SECONDS = 30.0
-# Releases that mend a server are rolled out in this time.
+# Releases that fix a server are rolled out within this time.
 QUARANTINE_SECONDS = 600.0
-# How long a turn is: the outcome of one entry's probe reaches all others within it.
+# The length of a turn, within which the outcome of one entry's probe reaches all other
+# entries.
 PROBE_TURN_SECONDS = 3.0
-# Callers wait for the turns of a suspect, so that they are short; what the next entry
-# does not hear of in time costs one more server.
+# Turns of suspected requests are short because callers wait for them. Each outcome that
+# does not reach the next entry within a turn costs one more server.
 SUSPECT_TURN_SECONDS = 1.0
-# With as many entries some share a turn.
-MOST_SUSPECT_TURNS = 8
-# Callers that were cut by a crash have come back or given up by then.
-SUSPECT_SECONDS = 60.0
-FORGET_SECONDS = 3600.0
-FORGET_GAP_SECONDS = 1.0
-MOST_RECORDS = 4096
-# Each record is offered so many times; what that misses is found by comparing digests.
-OFFERS = 16
+# With more entries than this, some share a turn.
+MAX_SUSPECT_TURNS = 8
+# Callers whose requests were cut by a crash have returned or given up by then.
+SUSPECT_RETENTION_SECONDS = 60.0
+RETENTION_SECONDS = 3600.0
+EXPIRY_CHECK_SECONDS = 1.0
+MAX_RECORDS = 4096
+# The number of times that each record is offered. Entries that miss all offers detect
+# the difference by comparing digests.
+OFFERS_PER_RECORD = 16
 
 
 @dataclass(frozen=True, slots=True)
 class RequestQuarantined(Failure):
     """The request crashed the servers that ran it and is sent to none for a while.
 
-    :ivar crashes: how many in a row.
-    :ivar left_seconds: for how long.
+    :ivar crashes: the number of consecutive crashes.
+    :ivar left_seconds: the seconds until this entry may send the request.
     """
 
     crashes: int
@@ -75,7 +78,7 @@
 class RequestSuspected(Failure):
     """A server has crashed under a copy of the request, and another one is awaited.
 
-    :ivar left_seconds: until this entry may send it.
+    :ivar left_seconds: the seconds until this entry may send the request.
     """
 
     left_seconds: float
@@ -83,251 +86,266 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashRecord:
-    """What is known of one request.
+    """The crash history of one request.
 
-    :ivar freed: how many quarantines have been ended by an answer.
-    :ivar cleared: how many shorter rows of crashes have been ended by an answer since.
-    :ivar crashes: crashes in a row since.
+    :ivar quarantines_ended: the number of quarantines that an answer has ended.
+    :ivar sequences_ended: the number of shorter crash sequences that an answer has
+        ended since the last quarantine.
+    :ivar crashes: the number of consecutive crashes since the last answer.
     """
 
     fingerprint: bytes
-    freed: int = 0
-    cleared: int = 0
+    quarantines_ended: int = 0
+    sequences_ended: int = 0
     crashes: int = 0
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """The record with the greater rank prevails."""
-        return (self.freed, self.cleared, self.crashes)
+        """The order of records of one request; the greatest rank prevails."""
+        return (self.quarantines_ended, self.sequences_ended, self.crashes)
 
     @property
     def quarantined(self) -> bool:
-        """Whether the request is sent to no server for a while."""
+        """Whether the request is in quarantine."""
         return self.crashes >= CRASHES_TO_QUARANTINE
 
     @property
-    def lasting(self) -> bool:
-        """Whether every entry must know it, also one that starts later.
+    def replicated(self) -> bool:
+        """Whether every entry must have the record, including entries that start later.
 
-        An entry that missed the end of a quarantine would bring it back to the others.
+        An entry that missed the end of a quarantine would reintroduce it at the others.
         """
-        return self.quarantined or self.freed > 0
+        return self.quarantined or self.quarantines_ended > 0
 
     def after_crash(self) -> "CrashRecord":
-        """Return the record after one more crash in the row."""
+        """Return the record after one more consecutive crash."""
         return replace(self, crashes=self.crashes + 1)
 
     def after_answer(self) -> "CrashRecord":
-        """Return the record after an answer, which ends the row."""
+        """Return the record after an answer, which resets the crash count."""
         if self.quarantined:
-            return CrashRecord(self.fingerprint, self.freed + 1)
-        return replace(self, cleared=self.cleared + 1, crashes=0)
+            return CrashRecord(self.fingerprint, self.quarantines_ended + 1)
+        return replace(self, sequences_ended=self.sequences_ended + 1, crashes=0)
 
 
 @dataclass(slots=True)
-class _Kept:
+class _StoredRecord:
     record: CrashRecord
-    since: float
-    offers: int = OFFERS
-    # The last turn that this entry used, counted from the first one.
-    used: int = -1
+    crashed_at: float
+    offers_left: int = OFFERS_PER_RECORD
+    # The last turn that this entry used; turns are numbered from 0.
+    last_turn: int = -1
 
 
 @dataclass(slots=True)
 class Quarantine:
-    """The crashes that one entry knows of.
+    """The crash records that one entry has.
 
     :ivar own: this entry's name.
-    :ivar entries: returns the names of the entries that serve.
-    :ivar changed: called after each change that others should hear at once.
+    :ivar entries: returns the names of the entries in service.
+    :ivar changed: called after each change to be sent to other entries at once.
     """
 
     own: str
     entries: Callable[[], Collection[str]]
     clock: Clock
     changed: Callable[[], None] = lambda: None
-    _kept: dict[bytes, _Kept] = field(default_factory=dict)
+    _records: dict[bytes, _StoredRecord] = field(default_factory=dict)
     _digest: int = 0
-    _forget_at: float = 0.0
+    _next_expiry_check: float = 0.0
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     @property
     def empty(self) -> bool:
-        """Whether nothing is held against any request."""
-        return not self._kept
+        """Whether there is no record of any request."""
+        return not self._records
 
     @property
     def count(self) -> int:
-        """How many requests are quarantined."""
-        return sum(kept.record.quarantined for kept in list(self._kept.values()))
+        """The number of quarantined requests."""
+        return sum(stored.record.quarantined for stored in list(self._records.values()))
 
-    def known(self, of: bytes) -> CrashRecord:
-        """Return what is known of a request."""
-        kept = self._kept.get(of)
-        return kept.record if kept is not None else CrashRecord(of)
+    def known(self, fingerprint: bytes) -> CrashRecord:
+        """Return the record of a request; an empty record if there is none."""
+        stored = self._records.get(fingerprint)
+        return stored.record if stored is not None else CrashRecord(fingerprint)
 
     def admit(
-        self, of: bytes, was_cut: bool = False
+        self, fingerprint: bytes, was_cut: bool = False
     ) -> RequestQuarantined | RequestSuspected | None:
-        """Return why a request may not be sent now; None where it may.
+        """Return why a request may not be sent now; None if it may.
 
-        :param was_cut: whether it is a copy that was itself cut by the crash.
+        A permission given in one of this entry's turns uses up that turn.
+
+        :param was_cut: whether this copy of the request was itself cut by the crash.
         """
         with self._lock:
-            kept = self._kept.get(of)
-            if kept is None or not kept.record.crashes:
+            stored = self._records.get(fingerprint)
+            if stored is None or not stored.record.crashes:
                 return None
-            if was_cut and not kept.record.quarantined:
+            if was_cut and not stored.record.quarantined:
                 return None
-            turn, left = self._next_turn(kept)
+            turn, left = self._next_turn(stored)
             if left <= 0:
-                kept.used = turn
+                stored.last_turn = turn
                 return None
-            return _held(kept.record, left)
+            return _refusal(stored.record, left)
+
+    def held(self, fingerprint: bytes) -> RequestQuarantined | RequestSuspected | None:
+        """Return why a newly arrived request may not be sent now; None if it may.
 
-    def held(self, of: bytes) -> RequestQuarantined | RequestSuspected | None:
-        """Return why a request that has just come is not sent; uses no turn up."""
+        Unlike ``admit``, this does not use up a turn.
+        """
         with self._lock:
-            kept = self._kept.get(of)
-            if kept is None or not kept.record.crashes:
+            stored = self._records.get(fingerprint)
+            if stored is None or not stored.record.crashes:
                 return None
-            _, left = self._next_turn(kept)
-            return _held(kept.record, left) if left > 0 else None
+            _, left = self._next_turn(stored)
+            return _refusal(stored.record, left) if left > 0 else None
 
     def note_crash(self, sent_with: CrashRecord) -> CrashRecord | None:
-        """Take that a server crashed while it ran a request.
+        """Record that a server crashed while it ran a request.
 
-        :param sent_with: what was known right before the request was sent.
-        :returns: the new record; None where it says nothing new.
+        :param sent_with: the request's record right before the request was sent.
+        :returns: the new record; None if the crash changes nothing.
         """
-        known = self.known(sent_with.fingerprint)
-        # What was sent before an answer begins the next row.
-        same_row = sent_with.rank[:2] == known.rank[:2]
-        before = sent_with if same_row else replace(known, crashes=0)
+        current = self.known(sent_with.fingerprint)
+        # A request that was sent before an answer starts a new count.
+        same_sequence = sent_with.rank[:2] == current.rank[:2]
+        before = sent_with if same_sequence else replace(current, crashes=0)
         record = before.after_crash()
         return record if self.take(record, 0.0) else None
 
-    def note_answered(self, of: bytes) -> None:
-        """Take that a server answered a request, which ends its row of crashes."""
-        known = self._kept.get(of)
-        if known is not None and known.record.crashes:
-            self.take(known.record.after_answer(), 0.0)
+    def note_answered(self, fingerprint: bytes) -> None:
+        """Record that a server answered a request, which resets its crash count."""
+        stored = self._records.get(fingerprint)
+        if stored is not None and stored.record.crashes:
+            self.take(stored.record.after_answer(), 0.0)
 
     def take(self, record: CrashRecord, age_seconds: float) -> bool:
-        """Merge a record; False where it says nothing new.
+        """Merge a record; return False if it changes nothing.
 
-        :param age_seconds: how long ago its last crash was noticed.
+        :param age_seconds: the time since its last crash was detected.
         """
-        if age_seconds >= _keep_seconds(record):
+        if age_seconds >= _retention_seconds(record):
             return False
         with self._lock:
-            known = self._kept.get(record.fingerprint)
-            if known is not None and known.record.rank >= record.rank:
+            stored = self._records.get(record.fingerprint)
+            if stored is not None and stored.record.rank >= record.rank:
                 return False
-            if known is None and len(self._kept) >= MOST_RECORDS:
-                self._make_room()
+            if stored is None and len(self._records) >= MAX_RECORDS:
+                self._evict_one()
             since = self.clock.now() - age_seconds
-            self._put(_Kept(record, since))
+            self._put(_StoredRecord(record, since))
         self.changed()
         return True
 
-    def news(self, most: int) -> list[tuple[CrashRecord, float]]:
-        """Return records to offer, each with its age, and count the offer.
+    def news(self, max_records: int) -> list[tuple[CrashRecord, float]]:
+        """Return records to offer, at most ``max_records``, each with its age.
 
-        The longest rows go first, and what was offered least often.
+        Each call counts as one offer of the returned records. Records with the most
+        consecutive crashes come first, then those that were offered least often.
         """
         with self._lock:
-            self._forget()
-            fresh = (kept for kept in self._kept.values() if kept.offers > 0)
-            offered = heapq.nsmallest(most, fresh, key=_offer_order)
-            for kept in offered:
-                kept.offers -= 1
-            return self._aged(offered)
+            self._drop_expired()
+            fresh = (
+                stored for stored in self._records.values() if stored.offers_left > 0
+            )
+            offered = heapq.nsmallest(max_records, fresh, key=_offer_order)
+            for stored in offered:
+                stored.offers_left -= 1
+            return self._with_ages(offered)
 
     def lasting(self) -> list[tuple[CrashRecord, float]]:
-        """Return the records that every entry must know, each with its age."""
+        """Return the records that every entry must have, each with its age."""
         with self._lock:
-            self._forget()
-            return self._aged(k for k in self._kept.values() if k.record.lasting)
+            self._drop_expired()
+            return self._with_ages(
+                k for k in self._records.values() if k.record.replicated
+            )
 
     @property
     def digest(self) -> int:
-        """A 32-bit digest of the records that every entry must know."""
+        """A 32-bit digest of the records that every entry must have."""
         return self._digest
 
-    def _put(self, kept: _Kept) -> None:
-        of = kept.record.fingerprint
-        if of in self._kept:
-            self._drop(of)
-        self._kept[of] = kept
-        self._digest ^= _digest(kept.record)
+    def _put(self, stored: _StoredRecord) -> None:
+        fingerprint = stored.record.fingerprint
+        if fingerprint in self._records:
+            self._drop(fingerprint)
+        self._records[fingerprint] = stored
+        self._digest ^= _digest(stored.record)
 
-    def _drop(self, of: bytes) -> None:
-        self._digest ^= _digest(self._kept.pop(of).record)
+    def _drop(self, fingerprint: bytes) -> None:
+        self._digest ^= _digest(self._records.pop(fingerprint).record)
 
-    def _aged(self, kept: Iterable[_Kept]) -> list[tuple[CrashRecord, float]]:
+    def _with_ages(
+        self, records: Iterable[_StoredRecord]
+    ) -> list[tuple[CrashRecord, float]]:
         now = self.clock.now()
-        return [(each.record, now - each.since) for each in kept]
+        return [(each.record, now - each.crashed_at) for each in records]
 
-    def _next_turn(self, kept: _Kept) -> tuple[int, float]:
+    def _next_turn(self, stored: _StoredRecord) -> tuple[int, float]:
         """Return this entry's next turn, and the seconds until it begins."""
-        record = kept.record
+        record = stored.record
         length = PROBE_TURN_SECONDS if record.quarantined else SUSPECT_TURN_SECONDS
         digests = sorted(_turn_digest(name, record) for name in self._all_entries())
         own, turns = digests.index(_turn_digest(self.own, record)), len(digests)
         if not record.quarantined:
-            turns = min(turns, MOST_SUSPECT_TURNS)
-        elapsed = self.clock.now() - kept.since - _pause_seconds(record)
+            turns = min(turns, MAX_SUSPECT_TURNS)
+        elapsed = self.clock.now() - stored.crashed_at - _pause_seconds(record)
         turn = max(0, int(elapsed // length))
         turn += (own - turn) % turns
-        if turn <= kept.used:
+        if turn <= stored.last_turn:
             turn += turns
         return turn, max(0.0, turn * length - elapsed)
 
     def _all_entries(self) -> set[str]:
         return {*self.entries(), self.own}
 
-    def _forget(self) -> None:
+    def _drop_expired(self) -> None:
         now = self.clock.now()
-        if now < self._forget_at:
+        if now < self._next_expiry_check:
             return
-        self._forget_at = now + FORGET_GAP_SECONDS
-        for of, kept in list(self._kept.items()):
-            if now - kept.since >= _keep_seconds(kept.record):
-                self._drop(of)
+        self._next_expiry_check = now + EXPIRY_CHECK_SECONDS
+        for fingerprint, stored in list(self._records.items()):
+            if now - stored.crashed_at >= _retention_seconds(stored.record):
+                self._drop(fingerprint)
 
-    def _make_room(self) -> None:
-        """Forget the oldest record that quarantines nothing, or else the oldest."""
-        passing = (of for of, k in self._kept.items() if not k.record.quarantined)
-        self._drop(next(passing, next(iter(self._kept))))
+    def _evict_one(self) -> None:
+        """Drop the oldest record that is no quarantine, or else the oldest record."""
+        not_quarantined = (
+            key for key, k in self._records.items() if not k.record.quarantined
+        )
+        self._drop(next(not_quarantined, next(iter(self._records))))
 
 
-def _held(record: CrashRecord, left: float) -> RequestQuarantined | RequestSuspected:
+def _refusal(record: CrashRecord, left: float) -> RequestQuarantined | RequestSuspected:
     if record.quarantined:
         return RequestQuarantined(record.crashes, left)
     return RequestSuspected(left)
 
 
 def _pause_seconds(record: CrashRecord) -> float:
-    """Return for how long a request is sent to no server after its last crash."""
+    """Return how long after its last crash a request is not sent to any server."""
     if not record.quarantined:
-        # What was cut is sent in the first turn.
+        # The first turn belongs to the attempts that were cut.
         return SUSPECT_TURN_SECONDS
     first = record.crashes == CRASHES_TO_QUARANTINE
     return FIRST_QUARANTINE_SECONDS if first else QUARANTINE_SECONDS
 
 
-def _keep_seconds(record: CrashRecord) -> float:
-    return FORGET_SECONDS if record.lasting else SUSPECT_SECONDS
+def _retention_seconds(record: CrashRecord) -> float:
+    return RETENTION_SECONDS if record.replicated else SUSPECT_RETENTION_SECONDS
 
 
-def _offer_order(kept: _Kept) -> tuple[int, int]:
-    return (-kept.record.crashes, -kept.offers)
+def _offer_order(stored: _StoredRecord) -> tuple[int, int]:
+    return (-stored.record.crashes, -stored.offers_left)
 
 
 def _digest(record: CrashRecord) -> int:
-    """Return the part of a record in the digest of all; 0 where it is left out."""
-    if not record.lasting:
+    """Return a record's part of the common digest; 0 if it is not part of it."""
+    if not record.replicated:
         return 0
     text = f"{record.rank} ".encode()
     return xxhash.xxh32_intdigest(text + record.fingerprint)
--- a/boragestream/policy/retries.py
+++ b/boragestream/policy/retries.py
@@ -1,8 +1,8 @@
-"""Whether a failed attempt is followed by another.
+"""Decides whether a failed attempt is followed by another.
 
-Only what is safe is tried again: a call that may be repeated, or one that certainly
-was not run. What costs a server anything draws on a budget, so that retries cannot
-multiply an overload.
+Only calls that are safe to repeat are retried: those that may run more than once, and
+those that certainly were not run. A retry after an attempt that put load on a server is
+taken from a budget, so that retries cannot multiply an overload.
 """
 
 import random
@@ -13,11 +13,11 @@
 __all__ = ["MAX_ATTEMPTS", "FailedAttempt", "Retry", "pause_seconds", "retry_verdict"]
 
 MAX_ATTEMPTS = 3
-PAUSE_SECONDS = 0.02
+BACKOFF_SECONDS = 0.02
 
 
 class Retry(Enum):
-    """Whether and why an attempt is followed by another."""
+    """Whether an attempt is followed by another, and the reason."""
 
     AGAIN = "another attempt is made"
     UNSAFE = "the call may have run and may not be repeated"
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """What counts of a failed attempt.
+    """The properties of a failed attempt that the decision depends on.
 
     :ivar may_have_run: whether the server may have run the call.
-    :ivar free: whether it cost no server anything: never sent, or refused by a
-        server that is leaving.
+    :ivar free: whether it put no load on a server: it was never sent, or it was refused
+        by a server that is leaving.
     """
 
     may_have_run: bool
@@ -49,11 +49,12 @@
     switched_off: bool,
     spend: Callable[[], bool],
 ) -> Retry:
-    """Decide on another attempt.
+    """Decide whether to make another attempt.
 
-    :param attempts: attempts made so far, hedges not counted.
-    :param seconds_needed: what an attempt usually takes; 0 while that is unknown.
-    :param spend: takes one retry from the budget; False where there is none.
+    :param attempts: the number of attempts made so far, without hedges.
+    :param repeatable: whether the call may run more than once.
+    :param seconds_needed: the usual duration of an attempt; 0 if it is unknown.
+    :param spend: takes one retry from the budget; returns False if none is left.
     """
     if failed.may_have_run and not repeatable:
         return Retry.UNSAFE
@@ -69,5 +70,5 @@
 
 
 def pause_seconds(attempts: int, rng: random.Random) -> float:
-    """Return how long to wait before the same server is tried again."""
-    return PAUSE_SECONDS * attempts * rng.uniform(0.5, 1.5)
+    """Return how long to wait before the next attempt on the same server."""
+    return BACKOFF_SECONDS * attempts * rng.uniform(0.5, 1.5)
--- a/boragestream/policy/retry_window.py
+++ b/boragestream/policy/retry_window.py
@@ -1,8 +1,8 @@
-"""Bounds how often requests are sent once more, over all entries together.
+"""Limits the repeats of requests over all entries together.
 
-A service may get, in any window of a few seconds, repeats up to a share of its
-requests and some slack. Each entry keeps to its part: the share of its own requests
-and the slack divided by the entries that it knows of.
+In any window of a few seconds, a service may get repeats up to a share of its requests
+plus a fixed slack. Each entry enforces its part of this limit: the share of its own
+requests, and the slack divided by the number of entries that it knows.
 """
 
 import threading
@@ -12,18 +12,19 @@
 
 __all__ = ["RetryBounds", "RetryWindows"]
 
-# The part of the bound that is used. An entry that was restarted has forgotten what its
-# predecessor sent in the same window, and a request can end just outside of it.
+# The part of the limit that is used. The rest covers two inaccuracies: a restarted
+# entry has no record of what its predecessor sent in the same window, and a request can
+# end just outside the window.
 USED_SHARE = 0.7
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBounds:
-    """The bound for one service, over all entries.
+    """The limit for one service over all entries.
 
-    :ivar share: repeats as a share of its requests.
+    :ivar share: the repeats as a share of the service's requests.
     :ivar window_seconds: the length of the window.
-    :ivar slack: repeats in a window besides.
+    :ivar slack: the number of repeats allowed in a window in addition to the share.
     """
 
     share: float
@@ -40,9 +41,9 @@
 class RetryWindows:
     """The repeats that this entry may still send, by service.
 
-    :param now: returns the clock's seconds.
-    :param bounds: returns the bound in force.
-    :param entries: returns how many entries share it.
+    :param now: returns the time of the clock in seconds.
+    :param bounds: returns the limit in force.
+    :param entries: returns the number of entries that share the limit.
     """
 
     def __init__(
@@ -58,24 +59,24 @@
         self._lock = threading.Lock()
 
     def note_request(self, service: str, count: int = 1) -> None:
-        """Count what was asked of a service: callers' requests, or pieces of a stage.
+        """Count first calls to a service: callers' requests, or pieces of a stage.
 
-        The owner of a stage service's queue repeats for all entries. Were their pieces
-        not counted with it, its part of the slack alone would be left to it: two
-        repeats in ten seconds among 195 entries. On a day of these with lost answers
-        and spoilt results 189 of 12,500 staged requests failed for that.
+        The owner of a stage service's queue sends the repeats for all entries and
+        therefore counts their pieces too. Otherwise it would have only its part of the
+        slack: two repeats in ten seconds among 195 entries. In a day's load with lost
+        answers and corrupted results, this failed 189 of 12,500 staged requests.
         """
         with self._lock:
-            self._of(service).requests.extend([self._now()] * count)
+            self._counts_for(service).requests.extend([self._now()] * count)
 
     def spend(self, service: str, count: int = 1) -> bool:
-        """Take some repeats; False, and none taken, where the bound forbids them."""
+        """Take some repeats; take none and return False if they exceed the limit."""
         bounds = self._bounds()
         with self._lock:
-            counts = self._of(service)
+            counts = self._counts_for(service)
             oldest = self._now() - bounds.window_seconds
-            _forget(counts.requests, oldest)
-            _forget(counts.repeats, oldest)
+            _drop_older(counts.requests, oldest)
+            _drop_older(counts.repeats, oldest)
             slack = bounds.slack / max(1, self._entries())
             allowed = USED_SHARE * (bounds.share * len(counts.requests) + slack)
             if len(counts.repeats) + count > allowed:
@@ -83,13 +84,13 @@
             counts.repeats.extend([self._now()] * count)
             return True
 
-    def _of(self, service: str) -> _Counts:
+    def _counts_for(self, service: str) -> _Counts:
         counts = self._counts.get(service)
         if counts is None:
             counts = self._counts[service] = _Counts(deque(), deque())
         return counts
 
 
-def _forget(times: deque[float], oldest: float) -> None:
+def _drop_older(times: deque[float], oldest: float) -> None:
     while times and times[0] < oldest:
         times.popleft()
--- a/boragestream/policy/ticket_book.py
+++ b/boragestream/policy/ticket_book.py
@@ -1,9 +1,9 @@
-"""What the issuing entry remembers of its tickets, so that none runs twice.
+"""The issuing entry's records of its tickets, which prevent a second run.
 
-Every issued ticket has a record until its expiry and a margin have passed; only the
-record gives the right to run, once. A ticket ends in one outcome, which never
-changes: whoever posts it again or asks for it is told the same. Running the call and
-reaching the issuer are left to ``serving.tickets`` and ``entry.forwarding``.
+Every issued ticket has a record until its expiry and a retention period have passed.
+The right to run is granted from the record, and only once. A ticket ends in one
+outcome, which never changes: every later post or query of the ticket gets that outcome.
+``serving.tickets`` runs the call and ``entry.forwarding`` reaches the issuer.
 """
 
 import heapq
@@ -38,14 +38,14 @@
 MAX_ACCOUNT_TICKETS = MAX_TICKETS // 4
 MAX_ANSWER_BYTES = 1_048_576
 MAX_KEPT_BYTES = 16 * 1_048_576
-KEEP_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerNotKept(Failure):
     """The call ran once and was answered, but its answer was not kept.
 
-    :ivar size: the bytes of the answer.
+    :ivar size: the size of the answer in bytes.
     """
 
     size: int
@@ -53,9 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The right to run the call of one ticket; given at most once.
+    """The right to run the call of one ticket; granted at most once.
 
-    :ivar run_by: the clock's seconds after which no call may be sent under it.
+    :ivar run_by: the time of the clock, in seconds, after which no call may be sent.
     """
 
     sequence: int
@@ -66,7 +66,7 @@
 class InProgress:
     """The call of the ticket is running.
 
-    :ivar request_id: the request that runs it.
+    :ivar request_id: the request that runs the call.
     """
 
     request_id: str
@@ -76,7 +76,8 @@
 class Ended:
     """The ticket's final outcome.
 
-    :ivar request_id: the request that had the outcome; an answer's body is JSON text.
+    :ivar request_id: the request that ended with the outcome.
+    :ivar outcome: if it is an answer, its body is JSON text.
     """
 
     request_id: str
@@ -100,9 +101,10 @@
 class TicketBook:
     """The tickets of one incarnation of one entry.
 
-    :param key: random in each incarnation; never leaves the process.
-    :param max_tickets: the most tickets remembered at once.
-    :param max_bytes: the most bytes of answers kept at once.
+    :param key: the authentication key, random in each incarnation; it never leaves the
+        process.
+    :param max_tickets: the maximum number of tickets with a record.
+    :param max_bytes: the maximum total size of the kept answers in bytes.
     """
 
     def __init__(
@@ -124,22 +126,22 @@
         self._sequence = 0
         self._records: dict[int, _Record] = {}
         self._by_account: Counter[str] = Counter()
-        self._forget_at: list[tuple[float, int]] = []
+        self._expiry_heap: list[tuple[float, int]] = []
         self._kept_bytes = 0
         self._lock = threading.Lock()
 
     @property
     def remembered(self) -> int:
-        """How many tickets have a record."""
+        """The number of tickets that have a record."""
         return len(self._records)
 
     @property
     def kept_bytes(self) -> int:
-        """How many bytes of answers are kept."""
+        """The total size of the kept answers in bytes."""
         return self._kept_bytes
 
     def is_issuer(self, ticket: Ticket) -> bool:
-        """Tell whether this very incarnation is named as the ticket's issuer."""
+        """Return whether the ticket names this entry and incarnation as its issuer."""
         named = (ticket.issuer, ticket.incarnation)
         return named == (self._issuer, self._incarnation)
 
@@ -147,11 +149,11 @@
         """Issue a ticket and return its text.
 
         :param account: the client account that may use it.
-        :param seconds: until its expiry.
+        :param seconds: the time until its expiry.
         """
         with self._lock:
             now = self._clock.now()
-            self._forget(now)
+            self._drop_expired(now)
             if len(self._records) >= self._max_tickets:
                 return TicketsExhausted("tickets")
             if self._by_account[account] >= self._max_account:
@@ -160,10 +162,10 @@
                 return TicketsExhausted("kept answers")
             self._sequence += 1
             expiry = now + seconds
-            record = _Record(account, expiry, expiry + KEEP_SECONDS)
+            record = _Record(account, expiry, expiry + RETENTION_SECONDS)
             self._records[self._sequence] = record
             self._by_account[account] += 1
-            heapq.heappush(self._forget_at, (record.forget_at, self._sequence))
+            heapq.heappush(self._expiry_heap, (record.forget_at, self._sequence))
             ticket = Ticket(
                 account,
                 self._issuer,
@@ -176,12 +178,12 @@
     def claim(
         self, ticket: Ticket, account: str, request_id: str, content: bytes
     ) -> Grant | TicketState | Failure:
-        """Take the right to run, or learn what became of the ticket.
+        """Grant the right to run, or return the ticket's state.
 
-        :param account: the client account that asks.
+        :param account: the client account that posts the ticket.
         :param request_id: the request that would run.
-        :param content: a digest of what it asks for; an answer is not given to a
-            post of the ticket that asks for something else.
+        :param content: a digest of the requested call; a post of the ticket with
+            another call does not get the first call's answer.
         """
         with self._lock:
             now = self._clock.now()
@@ -201,9 +203,9 @@
     def burn(
         self, ticket: Ticket, account: str, request_id: str, reason: Failure
     ) -> TicketState | Failure:
-        """Learn what became of a ticket; one not used yet never can be afterwards.
+        """Return a ticket's state; a ticket that is still unused becomes unusable.
 
-        :param reason: why an unused ticket's outcome is "refused".
+        :param reason: the failure in the "refused" outcome of an unused ticket.
         """
         with self._lock:
             record = self._find(ticket, account, self._clock.now())
@@ -214,12 +216,12 @@
             return self._end(record, Ended(request_id, Refused(reason)))
 
     def finish(
-        self, grant: Grant, request_id: str, outcome: Outcome, ask: str
+        self, grant: Grant, request_id: str, outcome: Outcome, state_path: str
     ) -> Ended:
-        """Set the outcome of a granted ticket; the first one stays.
+        """Set the outcome of a granted ticket; an outcome set earlier stays.
 
         :param outcome: an answer's body is JSON text as ``msgspec.Raw``.
-        :param ask: the path under which the ticket can be asked for.
+        :param state_path: the path under which the ticket's state can be queried.
         """
         with self._lock:
             record = self._records.get(grant.sequence)
@@ -227,23 +229,24 @@
                 return Ended(request_id, outcome)
             if isinstance(record.state, Ended):
                 return record.state
-            # Whoever lost the answer has the whole margin to ask for it.
-            keep_until = self._clock.now() + KEEP_SECONDS
+            # A caller that lost the answer has the whole retention period to query it.
+            keep_until = self._clock.now() + RETENTION_SECONDS
             record.forget_at = max(record.forget_at, keep_until)
-            heapq.heappush(self._forget_at, (record.forget_at, grant.sequence))
-            outcome = self._keep(record, outcome, ask)
+            heapq.heappush(self._expiry_heap, (record.forget_at, grant.sequence))
+            outcome = self._retain_answer(record, outcome, state_path)
             return self._end(record, Ended(request_id, outcome))
 
     def wait(self, ticket: Ticket, seconds: float) -> TicketState | None:
         """Wait until a claimed ticket has ended.
 
-        :returns: its state after the wait, None where it is not remembered.
+        :returns: its state after the wait; None if there is no record of it.
         """
         with self._lock:
             record = self._records.get(ticket.sequence)
             if record is None or isinstance(record.state, Ended):
                 return record and record.state
-            # Few tickets are waited for, and an event takes more than the record.
+            # The event is created on demand: few tickets are waited for, and an event
+            # takes more memory than the record.
             record.ended = record.ended or threading.Event()
         record.ended.wait(max(0.0, seconds))
         return record.state
@@ -253,7 +256,7 @@
             return TicketForged()
         if ticket.account != account:
             return TicketForeign()
-        self._forget(now)
+        self._drop_expired(now)
         return self._records.get(ticket.sequence) or TicketForgotten()
 
     def _end(self, record: _Record, ended: Ended) -> Ended:
@@ -262,21 +265,23 @@
             record.ended.set()
         return ended
 
-    def _keep(self, record: _Record, outcome: Outcome, ask: str) -> Outcome:
+    def _retain_answer(
+        self, record: _Record, outcome: Outcome, state_path: str
+    ) -> Outcome:
         """Count the bytes of an answer, or replace one that is too large to keep."""
         if not isinstance(outcome, Answered):
             return outcome
         size = len(bytes(outcome.body))
         if size > MAX_ANSWER_BYTES or self._kept_bytes + size > self._max_bytes:
-            return Unknown(AnswerNotKept(size), ask)
+            return Unknown(AnswerNotKept(size), state_path)
         record.kept_bytes = size
         self._kept_bytes += size
         return outcome
 
-    def _forget(self, now: float) -> None:
-        """Forget the tickets whose time has come, but none that is running."""
-        while self._forget_at and self._forget_at[0][0] <= now:
-            _, sequence = heapq.heappop(self._forget_at)
+    def _drop_expired(self, now: float) -> None:
+        """Drop the records whose retention has ended, except those of running calls."""
+        while self._expiry_heap and self._expiry_heap[0][0] <= now:
+            _, sequence = heapq.heappop(self._expiry_heap)
             record = self._records.get(sequence)
             if record is None or isinstance(record.state, InProgress):
                 continue
--- a/boragestream/policy/tickets.py
+++ b/boragestream/policy/tickets.py
@@ -1,8 +1,8 @@
-"""Tickets: the right to run a call that may not be repeated, at most once.
+"""Tickets that grant the right to run a non-repeatable call at most once.
 
-A ticket names the entry that issued it and that entry's incarnation, and is
-authenticated with a key that is random in each incarnation. So no other process can
-ever take it for its own. What became of a ticket is left to ``policy.ticket_book``.
+A ticket names the entry that issued it and that entry's incarnation. It is
+authenticated with a key that is random in each incarnation, so that no other process
+can accept it as its own. ``policy.ticket_book`` records the state of each ticket.
 """
 
 import base64
@@ -37,13 +37,15 @@
 
 
 class Ticket(msgspec.Struct, frozen=True, array_like=True):
-    """A ticket as the entries read it; callers see opaque text.
+    """A ticket as the entries read it; to callers it is opaque text.
 
     :ivar account: the client account that may use it.
     :ivar issuer: the name of the entry that issued it.
     :ivar incarnation: that entry's incarnation.
-    :ivar sequence: rises by one with each ticket of an incarnation.
-    :ivar expiry_ms: milliseconds of the issuer's clock; nobody else reads them.
+    :ivar sequence: the number of the ticket within the incarnation, rising by one.
+    :ivar expiry_ms: the expiry in milliseconds of the issuer's clock; only the issuer
+        interprets it.
+    :ivar mac: the message authentication code of the other fields.
     """
 
     account: str
@@ -93,14 +95,14 @@
 class TicketsExhausted(Failure):
     """The entry remembers as many tickets or answers as it may and issues none.
 
-    :ivar limit: the name of the bound that was reached.
+    :ivar limit: the name of the limit that was reached.
     """
 
     limit: str
 
 
 def ticket_mac(key: bytes, ticket: Ticket) -> bytes:
-    """Return the authentication of a ticket; its own ``mac`` is left out."""
+    """Return the authentication code of a ticket, computed without its ``mac``."""
     unsigned = msgspec.structs.replace(ticket, mac=b"")
     body = msgspec.msgpack.encode(unsigned)
     return hashlib.blake2b(body, key=key, digest_size=MAC_BYTES).digest()
@@ -114,7 +116,7 @@
 
 
 def read_ticket(text: str) -> Ticket | TicketMalformed:
-    """Return what a text says; whether it is genuine only its issuer can tell."""
+    """Decode a ticket's text; only its issuer can check whether it is genuine."""
     if len(text) > MAX_TICKET_CHARACTERS:
         return TicketMalformed()
     try:
@@ -126,5 +128,5 @@
 
 
 def is_genuine(key: bytes, ticket: Ticket) -> bool:
-    """Tell whether a ticket was authenticated with a key."""
+    """Return whether a ticket was authenticated with a key."""
     return hmac.compare_digest(ticket.mac, ticket_mac(key, ticket))
--- a/tests/features/steps/account_limits.py
+++ b/tests/features/steps/account_limits.py
@@ -85,7 +85,7 @@
 
     def held(self, name):
         """Return the rate that an entry holds."""
-        return self.members[name].limits.held(self.account)[0]
+        return self.members[name].limits.shares(self.account)[0]
 
 
 @given('{count:d} entries that hold "{limit}" at {value:d}')
--- a/tests/features/steps/policy_ticket_book.py
+++ b/tests/features/steps/policy_ticket_book.py
@@ -13,7 +13,7 @@
 from boragestream.base.failures import CallerGone
 from boragestream.base.outcomes import Answered, Failed, Refused
 from boragestream.policy.ticket_book import (
-    KEEP_SECONDS,
+    RETENTION_SECONDS,
     Ended,
     Grant,
     InProgress,
@@ -38,7 +38,7 @@
 ACTIONS = st.tuples(
     st.sampled_from(["issue", "claim", "claim", "burn", "finish", "restart"]),
     st.integers(0, 3),
-    st.sampled_from([0.0, 0.0, 1.0, LIFE, KEEP_SECONDS, 1e6, -LIFE]),
+    st.sampled_from([0.0, 0.0, 1.0, LIFE, RETENTION_SECONDS, 1e6, -LIFE]),
 )
 
 
@@ -124,7 +124,7 @@
     with ThreadPoolExecutor(count) as pool:
         for _ in range(times):
             # The bound on an account's tickets must not end the test.
-            context.clock.seconds += LIFE + 2 * KEEP_SECONDS
+            context.clock.seconds += LIFE + 2 * RETENTION_SECONDS
             ticket = read_ticket(context.book.issue("a", LIFE))
             replies = pool.map(claim, [ticket] * count)
             grants = [r for r in replies if isinstance(r, Grant)]
@@ -161,7 +161,7 @@
         assert isinstance(
             context.book.claim(ticket, ticket.account, "r", CONTENT), Grant
         )
-    context.clock.seconds += LIFE + KEEP_SECONDS - 0.1
+    context.clock.seconds += LIFE + RETENTION_SECONDS - 0.1
     assert isinstance(context.book.issue("a-0", LIFE), TicketsExhausted)
     for ticket in context.issued:
         grant = Grant(ticket.sequence, 0.0)
@@ -170,7 +170,7 @@
 
 @when("the margin has passed")
 def step(context):
-    context.clock.seconds += KEEP_SECONDS + 0.1
+    context.clock.seconds += RETENTION_SECONDS + 0.1
 
 
 @then("a ticket can be issued again")
@@ -206,7 +206,7 @@
     assert context.book.claim(context.ticket, "a", "r-2", CONTENT) == InProgress("r")
     outcome = Refused(CallerGone())
     ended = context.book.finish(context.grant, "r", outcome, "/ask")
-    for seconds in (0.0, KEEP_SECONDS - 0.1):
+    for seconds in (0.0, RETENTION_SECONDS - 0.1):
         context.clock.seconds += seconds
         assert context.book.claim(context.ticket, "a", "r-2", CONTENT) == ended
     context.clock.seconds += 0.2
