--- a/boragestream/policy/overdue_calls.py
+++ b/boragestream/policy/overdue_calls.py
@@ -13,8 +13,8 @@
 __all__ = ["ASK_AGAIN_SECONDS", "answer_is_lost", "ask_after_seconds"]
 
 # A server is queried when its call has taken 1.5 times its usual duration plus an
-# allowance for the age of reports: they are a few hundred milliseconds old, and one from
-# before the call started would state that the server is idle.
+# allowance for the age of reports: they are a few hundred milliseconds old, and one
+# from before the call started would state that the server is idle.
 OVERDUE_FACTOR = 1.5
 REPORT_AGE_SECONDS = 0.4
 # The interval between queries to a server that is still working. Each query is counted,
--- a/tests/features/steps/account_limits.py
+++ b/tests/features/steps/account_limits.py
@@ -1,4 +1,4 @@
-"""Steps that hold account limits over several entries in one process."""
+"""Steps that enforce account limits over several entries in one process."""
 
 import random
 
@@ -16,13 +16,13 @@
 STEP_SECONDS = 0.05
 ROUND_SECONDS = 1.0
 BUDGET = 500
-# Reports carry rates in hundredths.
+# Reports state rates in hundredths, so that sums may differ by rounding.
 ROUNDING = 0.1
 EXAMPLES = settings(derandomize=True, deadline=None, max_examples=40)
 
 
 class Member:
-    """One entry, as far as limits go."""
+    """One entry, reduced to its account limits."""
 
     def __init__(self, name, names, clock):
         self.name = name
@@ -33,7 +33,7 @@
 
 
 class Group:
-    """Some entries that share the limits of one account."""
+    """Entries that share the limits of one account."""
 
     def __init__(self, count, **limits):
         self.clock = SetClock()
@@ -41,50 +41,52 @@
         names = [chr(ord("a") + i) for i in range(count)]
         self.members = {n: Member(n, names, self.clock) for n in names}
         self.rng = random.Random(1)
-        self.let_in = {}
+        self.admitted = {}
 
-    def exchange(self, sides):
-        """Have every entry swap reports with one other of its side."""
+    def exchange_reports(self, sides):
+        """Let every entry exchange reports with one other entry of its side."""
         for side in sides:
             for name in side:
                 others = [n for n in side if n != name]
                 if others:
-                    self.swap(self.members[name], self.members[self.rng.choice(others)])
+                    self.exchange_messages(
+                        self.members[name], self.members[self.rng.choice(others)]
+                    )
 
-    def swap(self, one, other):
-        """Swap one message each way."""
+    def exchange_messages(self, one, other):
+        """Exchange one message in each direction."""
         data, answer = one.part.offer(BUDGET), other.part.offer(BUDGET)
         other.part.take(one.name, data)
         one.part.take(other.name, answer)
 
-    def ask(self, rates, seconds, sides=None):
-        """Ask entries at their rates; keep what each lets in over the second half."""
+    def send_requests(self, rates, seconds, sides=None):
+        """Send requests at given rates; count those admitted in the second half."""
         sides = sides or [list(self.members)]
-        self.let_in = dict.fromkeys(self.members, 0)
+        self.admitted = dict.fromkeys(self.members, 0)
         due = dict.fromkeys(rates, 0.0)
         steps = round(seconds / STEP_SECONDS)
         for step in range(steps):
             self.clock.seconds += STEP_SECONDS
             if step % round(ROUND_SECONDS / STEP_SECONDS) == 0:
-                self.exchange(sides)
+                self.exchange_reports(sides)
             for name, rate in rates.items():
                 due[name] += rate * STEP_SECONDS
                 while due[name] >= 1:
                     due[name] -= 1
                     entered = self.enter(name)
-                    self.let_in[name] += entered and step >= steps / 2
+                    self.admitted[name] += entered and step >= steps / 2
         self.counted = seconds / 2
 
     def enter(self, name):
-        """Make one request that ends at once; tell whether it was let in."""
+        """Make one request that ends at once; return whether it was admitted."""
         limits = self.members[name].limits
         if limits.enter(self.account) is not None:
             return False
         limits.leave(self.account)
         return True
 
-    def held(self, name):
-        """Return the rate that an entry holds."""
+    def rate_share(self, name):
+        """Return an entry's share of the rate limit."""
         return self.members[name].limits.shares(self.account)[0]
 
 
@@ -95,25 +97,25 @@
 
 @when('"{name}" is asked {rate:d} times a second for {seconds:d} seconds')
 def step(context, name, rate, seconds):
-    context.group.ask({name: rate}, seconds)
+    context.group.send_requests({name: rate}, seconds)
 
 
 @when("both are asked {rate:d} times a second for {seconds:d} seconds")
 @when("all are asked {rate:d} times a second for {seconds:d} seconds")
 def step(context, rate, seconds):
-    context.group.ask(dict.fromkeys(context.group.members, rate), seconds)
+    context.group.send_requests(dict.fromkeys(context.group.members, rate), seconds)
 
 
 @when('"{b}" is silent and "{a}" gets {rate:d} a second for {n:d} seconds')
 def step(context, b, a, rate, n):
-    context.group.ask({a: rate}, n, sides=[[a], [b]])
+    context.group.send_requests({a: rate}, n, sides=[[a], [b]])
 
 
 @when("they are cut in 2 sides and asked {rate:d} times a second for {n:d} seconds")
 def step(context, rate, n):
     names = list(context.group.members)
     context.sides = [names[: len(names) // 2], names[len(names) // 2 :]]
-    context.group.ask(dict.fromkeys(names, rate), n, context.sides)
+    context.group.send_requests(dict.fromkeys(names, rate), n, context.sides)
 
 
 @when('"{name}" wakes up after {seconds:d} seconds')
@@ -128,7 +130,7 @@
     context.in_hand = dict.fromkeys(group.members, 0)
     for _ in range(8):
         group.clock.seconds += ROUND_SECONDS
-        group.exchange([list(group.members)])
+        group.exchange_reports([list(group.members)])
         for name, member in group.members.items():
             for _ in range(context.in_hand[name]):
                 member.limits.leave(group.account)
@@ -150,25 +152,25 @@
 
 @then('"{name}" lets in between {low:d} and {high:d} a second')
 def step(context, name, low, high):
-    rate = context.group.let_in[name] / context.group.counted
+    rate = context.group.admitted[name] / context.group.counted
     assert low <= rate <= high, rate
 
 
 @then('"{name}" holds {rate:d} a second before any report')
 def step(context, name, rate):
     context.group.enter(name)
-    assert context.group.held(name) == rate
+    assert context.group.rate_share(name) == rate
 
 
 @then('"{name}" holds {rate:d} a second at the most')
 def step(context, name, rate):
-    assert context.group.held(name) <= rate, context.group.held(name)
+    assert context.group.rate_share(name) <= rate, context.group.rate_share(name)
 
 
 @then("each side lets in {rate:d} a second at the most")
 def step(context, rate):
     for side in context.sides:
-        total = sum(context.group.let_in[n] for n in side) / context.group.counted
+        total = sum(context.group.admitted[n] for n in side) / context.group.counted
         assert total <= rate * 1.02, (side, total)
 
 
@@ -191,7 +193,7 @@
                 for name, data in offers.items():
                     member.part.take(name, data)
             group.clock.seconds += ROUND_SECONDS
-            held = [group.held(n) for n in group.members]
+            held = [group.rate_share(n) for n in group.members]
             assert sum(held) <= limit + ROUNDING, (held, limit)
 
     check()
@@ -210,11 +212,11 @@
             a.limits.enter(group.account)
         group.clock.seconds += ROUND_SECONDS
         b.part.take("a", a.part.offer(BUDGET))
-        told = b.table.fresh()["a"][1].accounts
+        reported = b.table.fresh()["a"][1].accounts
         own = a.limits.demands()
         for key, demand in own.items():
-            assert abs(told[key].held_rate - demand.held_rate) <= 0.01
-            assert told[key].slots == demand.slots
+            assert abs(reported[key].held_rate - demand.held_rate) <= 0.01
+            assert reported[key].slots == demand.slots
 
     check()
 
--- a/tests/features/steps/piece_repeats.py
+++ b/tests/features/steps/piece_repeats.py
@@ -23,22 +23,22 @@
 
 
 class AnsweredCalls:
-    """Answers the calls of an owner; some of them fail."""
+    """Answers an owner's calls, some of them with a failure."""
 
     def __init__(self, fails, lost):
-        """Fail one call in so many, by no answer or by spoilt results."""
+        """Fail every ``fails``-th call, by a lost answer or by faulty results."""
         self.fails, self.lost = fails, lost
         self.made = 0
-        self.waiting = []
+        self.queued = []
 
     def submit(self, work, *arguments):
-        """Take work that makes a call; it is done by ``run``."""
-        self.waiting.append((work, arguments))
+        """Queue work that makes a call, for ``run`` to execute."""
+        self.queued.append((work, arguments))
 
     def run(self):
-        """Do all work that waits, and what comes of it."""
-        while self.waiting:
-            work, arguments = self.waiting.pop(0)
+        """Execute all queued work, including work that it queues."""
+        while self.queued:
+            work, arguments = self.queued.pop(0)
             work(*arguments)
 
     def make(self, batch):
@@ -55,10 +55,10 @@
         ]
 
     def release(self, server, handles):
-        """Take that results are given up."""
+        """Ignore the release of results."""
 
     def look_again(self):
-        """Look for overdue calls; there are none."""
+        """Check for overdue calls; there are none."""
 
 
 @given("the owner of a queue among {entries:d} entries")
--- a/tests/features/steps/policy_attempts.py
+++ b/tests/features/steps/policy_attempts.py
@@ -70,21 +70,21 @@
 @given("a kind of call with times from {low:d} to {high:d} ms")
 def step(context, low, high):
     steps = 200
-    learn(context, [low + (high - low) * i / steps for i in range(steps)])
+    record_times(context, [low + (high - low) * i / steps for i in range(steps)])
 
 
 @given("a kind of call of which every third takes {slow:d} ms, the others {usual:d} ms")
 def step(context, slow, usual):
-    learn(context, [usual, usual, slow] * 60)
+    record_times(context, [usual, usual, slow] * 60)
 
 
 @given("a kind of call that was measured {count:d} times")
 def step(context, count):
-    learn(context, [20] * count)
+    record_times(context, [20] * count)
 
 
-def learn(context, times):
-    """Keep some times in milliseconds."""
+def record_times(context, times):
+    """Record call durations in milliseconds."""
     context.times = RecentTimes()
     for time in times:
         context.times.add("kind", time * MILLISECOND)
@@ -116,8 +116,8 @@
 
 
 @when("an entry keeps as many calls there as its limit allows, {times:d} times")
-def keep_used(context, times):
-    """Answer calls of an entry that uses its whole limit, with and without reports."""
+def run_at_limit(context, times):
+    """Run the calls of an entry that uses its whole limit, with and without reports."""
     for reports in context.limits:
         for _ in range(times):
             calls = int(context.limits[reports])
@@ -131,7 +131,7 @@
 @when("the server is half as fast, and an entry keeps the limit used {times:d} times")
 def step(context, times):
     context.seconds *= 2
-    keep_used(context, times)
+    run_at_limit(context, times)
 
 
 @then(
--- a/tests/features/steps/policy_ticket_book.py
+++ b/tests/features/steps/policy_ticket_book.py
@@ -1,4 +1,4 @@
-"""Steps on the decisions about tickets."""
+"""Steps on granting tickets and recording their outcomes."""
 
 import sys
 from concurrent.futures import ThreadPoolExecutor
@@ -30,22 +30,24 @@
 )
 from tests.standins.clock import SetClock
 
-LIFE = 30.0
-# Threads change places so often that a missing lock shows.
+TICKET_SECONDS = 30.0
+# Threads switch often enough to expose a missing lock.
 SWITCH_SECONDS = 1e-6
 EXAMPLES = 300
 CONTENT = b"digest"
 ACTIONS = st.tuples(
     st.sampled_from(["issue", "claim", "claim", "burn", "finish", "restart"]),
     st.integers(0, 3),
-    st.sampled_from([0.0, 0.0, 1.0, LIFE, RETENTION_SECONDS, 1e6, -LIFE]),
+    st.sampled_from(
+        [0.0, 0.0, 1.0, TICKET_SECONDS, RETENTION_SECONDS, 1e6, -TICKET_SECONDS]
+    ),
 )
 
 
-def new_book(clock, life=0, **bounds):
-    """Return the book of one incarnation."""
-    key = b"key of incarnation %d" % life
-    return TicketBook("entry-1", f"i-{life}", key, clock, **bounds)
+def new_book(clock, incarnation=0, **bounds):
+    """Return the ticket book of one incarnation."""
+    key = b"key of incarnation %d" % incarnation
+    return TicketBook("entry-1", f"i-{incarnation}", key, clock, **bounds)
 
 
 @then('in any interleaving a ticket is granted at most once and never after "not run"')
@@ -53,40 +55,40 @@
     @settings(max_examples=EXAMPLES, derandomize=True, deadline=None)
     @for_any(st.lists(ACTIONS, max_size=40))
     def check(actions):
-        follow(actions)
+        apply_actions(actions)
 
     check()
 
 
-def follow(actions):
-    """Take actions on the books of successive incarnations and check each reply."""
+def apply_actions(actions):
+    """Apply actions to the books of successive incarnations and check each reply."""
     clock = SetClock()
-    book, life, tickets, grants, told = new_book(clock), 0, [], {}, {}
+    book, incarnation, tickets, grants, outcomes = new_book(clock), 0, [], {}, {}
     for action, choice, seconds in actions:
         clock.seconds += seconds
         if action == "issue":
-            text = book.issue("ledger-desk", LIFE)
+            text = book.issue("ledger-desk", TICKET_SECONDS)
             tickets += [] if isinstance(text, TicketsExhausted) else [text]
         elif action == "restart":
-            life += 1
-            book = new_book(clock, life)
+            incarnation += 1
+            book = new_book(clock, incarnation)
         elif tickets:
             text = tickets[choice % len(tickets)]
-            reply = act(book, action, text, grants)
-            check_reply(text, reply, told)
+            reply = apply_action(book, action, text, grants)
+            check_reply(text, reply, outcomes)
 
 
-def act(book, action, text, grants):
-    """Take one action on a ticket; a second grant of one fails."""
+def apply_action(book, action, text, grants):
+    """Apply one action to a ticket; fail on a second grant."""
     ticket = read_ticket(text)
     if action == "burn":
         return book.burn(ticket, "ledger-desk", "r-burn", TicketNotUsed())
     if action == "finish":
-        held = grants.get(text)
-        if held is None or held[0] is not book:
+        granted = grants.get(text)
+        if granted is None or granted[0] is not book:
             return None
         answer = Answered(msgspec.Raw(b"{}"))
-        return book.finish(held[1], "r-1", answer, "/ask")
+        return book.finish(granted[1], "r-1", answer, "/ask")
     reply = book.claim(ticket, "ledger-desk", "r-1", CONTENT)
     if isinstance(reply, Grant):
         assert text not in grants, "granted twice"
@@ -94,14 +96,14 @@
     return reply
 
 
-def check_reply(text, reply, told):
-    """Check that what was once told of a ticket stays true."""
-    before = told.get(text)
-    if before is not None:
+def check_reply(text, reply, outcomes):
+    """Check that an ended ticket keeps its outcome until its record is dropped."""
+    earlier = outcomes.get(text)
+    if earlier is not None:
         forgotten = isinstance(reply, TicketForgotten | TicketForged | None)
-        assert forgotten or reply == before, (before, reply)
+        assert forgotten or reply == earlier, (earlier, reply)
     if isinstance(reply, Ended):
-        told[text] = reply
+        outcomes[text] = reply
 
 
 @given("a book of {tickets:d} tickets and {size:d} bytes")
@@ -123,9 +125,9 @@
     sys.setswitchinterval(SWITCH_SECONDS)
     with ThreadPoolExecutor(count) as pool:
         for _ in range(times):
-            # The bound on an account's tickets must not end the test.
-            context.clock.seconds += LIFE + 2 * RETENTION_SECONDS
-            ticket = read_ticket(context.book.issue("a", LIFE))
+            # Earlier tickets expire, so that the account's limit does not end the test.
+            context.clock.seconds += TICKET_SECONDS + 2 * RETENTION_SECONDS
+            ticket = read_ticket(context.book.issue("a", TICKET_SECONDS))
             replies = pool.map(claim, [ticket] * count)
             grants = [r for r in replies if isinstance(r, Grant)]
             context.grants.append(len(grants))
@@ -143,7 +145,7 @@
     context.issued = []
     while True:
         account = f"a-{len(context.issued) % accounts}"
-        context.reply = context.book.issue(account, LIFE)
+        context.reply = context.book.issue(account, TICKET_SECONDS)
         if isinstance(context.reply, TicketsExhausted):
             return
         context.issued.append(read_ticket(context.reply))
@@ -161,8 +163,8 @@
         assert isinstance(
             context.book.claim(ticket, ticket.account, "r", CONTENT), Grant
         )
-    context.clock.seconds += LIFE + RETENTION_SECONDS - 0.1
-    assert isinstance(context.book.issue("a-0", LIFE), TicketsExhausted)
+    context.clock.seconds += TICKET_SECONDS + RETENTION_SECONDS - 0.1
+    assert isinstance(context.book.issue("a-0", TICKET_SECONDS), TicketsExhausted)
     for ticket in context.issued:
         grant = Grant(ticket.sequence, 0.0)
         context.book.finish(grant, "r", Refused(CallerGone()), "/ask")
@@ -175,13 +177,13 @@
 
 @then("a ticket can be issued again")
 def step(context):
-    assert isinstance(context.book.issue("a-0", LIFE), str)
+    assert isinstance(context.book.issue("a-0", TICKET_SECONDS), str)
     assert context.book.remembered == 1
 
 
 @when("a ticket is run and its answer has {size:d} bytes")
 def step(context, size):
-    context.ticket = read_ticket(context.book.issue("a", LIFE))
+    context.ticket = read_ticket(context.book.issue("a", TICKET_SECONDS))
     grant = context.book.claim(context.ticket, "a", "r", CONTENT)
     answer = Answered(msgspec.Raw(b"1" * size))
     context.book.finish(grant, "r", answer, "/ask")
@@ -196,7 +198,7 @@
 
 @when("a ticket's run takes {seconds:d} s")
 def step(context, seconds):
-    context.ticket = read_ticket(context.book.issue("a", LIFE))
+    context.ticket = read_ticket(context.book.issue("a", TICKET_SECONDS))
     context.grant = context.book.claim(context.ticket, "a", "r", CONTENT)
     context.clock.seconds += seconds
 
@@ -215,7 +217,7 @@
 
 @then("a ticket with any field changed is not granted")
 def step(context):
-    ticket = read_ticket(context.book.issue("a", LIFE))
+    ticket = read_ticket(context.book.issue("a", TICKET_SECONDS))
     for name in ticket.__struct_fields__:
         value = getattr(ticket, name)
         other = value + 1 if isinstance(value, int) else value[:-1]
@@ -227,12 +229,12 @@
 
 @then("a ticket used by another account is not granted")
 def step(context):
-    ticket = read_ticket(context.book.issue("a", LIFE))
+    ticket = read_ticket(context.book.issue("a", TICKET_SECONDS))
     assert context.book.claim(ticket, "b", "r", CONTENT) == TicketForeign()
 
 
 @then("a ticket used for another input is not answered by the first one's answer")
 def step(context):
-    ticket = read_ticket(context.book.issue("a", LIFE))
+    ticket = read_ticket(context.book.issue("a", TICKET_SECONDS))
     assert isinstance(context.book.claim(ticket, "a", "r", CONTENT), Grant)
     assert context.book.claim(ticket, "a", "r", b"other") == TicketReused()
--- a/tests/features/steps/quarantine.py
+++ b/tests/features/steps/quarantine.py
@@ -1,4 +1,4 @@
-"""Steps on requests that crash servers, and on what entries tell one another."""
+"""Steps on requests that crash servers and on the exchange of crash records."""
 
 from behave import given, then, when
 
@@ -11,12 +11,12 @@
 from tests.standins.clock import SetClock
 from tests.standins.quarantines import CrashCrowd
 
-# How long a server takes to crash under a request.
+# The time from the start of a request to the crash of its server.
 CRASH_SECONDS = 0.1
 
 
-def crash(quarantine, name):
-    """Have a server crash under a request that is sent now."""
+def record_crash(quarantine, name):
+    """Record that a server crashes under a request that is sent now."""
     quarantine.note_crash(quarantine.known(fingerprint(name)))
 
 
@@ -28,7 +28,7 @@
 
 @when('a server crashes under the request "{name}"')
 def step(context, name):
-    crash(context.quarantine, name)
+    record_crash(context.quarantine, name)
 
 
 @when('{count:d} servers that run the request "{name}" at the same time crash')
@@ -61,7 +61,7 @@
 @when("{count:d} other requests are each cut by a crash")
 def step(context, count):
     for number in range(count):
-        crash(context.quarantine, f"other {number}")
+        record_crash(context.quarantine, f"other {number}")
 
 
 @then("no more than {most:d} requests are kept")
@@ -138,12 +138,12 @@
 def step(context, name, noise):
     crowd = context.crowd
     first = next(iter(crowd.entries.values())).quarantine
-    crash(first, name)
+    record_crash(first, name)
     for number in range(noise):
         entry = crowd.rng.choice(list(crowd.entries.values()))
-        crash(entry.quarantine, f"other {number}")
+        record_crash(entry.quarantine, f"other {number}")
     crowd.run(CRASH_SECONDS)
-    crash(first, name)
+    record_crash(first, name)
 
 
 @when("the others run for {seconds:d} seconds, while {lost:d} in 100 messages are lost")
@@ -219,8 +219,8 @@
 
     send(holders[0].quarantine, was_cut=False)
     crowd.run(CRASH_SECONDS * 3)
-    # Copies whose stages took their time come to be sent at the same moment, and are
-    # brought back by their callers until one is refused for good.
+    # Copies whose stages have ended are sent at the same time, and their callers send
+    # them again until one is refused for good.
     for _ in range(20):
         for holder in holders:
             send(holder.quarantine, was_cut=False)
