--- a/boragestream/policy/account_limits.py
+++ b/boragestream/policy/account_limits.py
@@ -49,8 +49,8 @@
     :ivar slots: the number of requests that this entry may have in hand at once; None
         without a concurrency limit.
     :ivar arrived: the requests that have arrived since ``counted_from``.
-    :ivar peak_wanted: the highest number of requests in hand since ``counted_from``, if
-        all had been admitted.
+    :ivar peak_wanted: the highest number of requests in hand since ``counted_from``,
+        each arriving request included even if it was refused.
     :ivar reported_rate: the demand as last reported, in requests per second.
     :ivar reported_wanted: the demand as last reported, in requests in hand.
     """
