--- a/boragestream/entry/exchange.py
+++ b/boragestream/entry/exchange.py
@@ -1,15 +1,15 @@
-"""The exchange between entries: a few peers a round, never all of them.
-
-Each round an entry swaps one small message with a bounded number of peers: one of its
-own data centre and one of another. What the message says is the parts' business. A
-round can be brought forward when something must travel at once. Who is a peer, and
-what a missed exchange means, is told by the ``PeerDirectory``.
-
-Callers are named no entry that is gone. A peer that did not answer is asked once more
-at once and then through another one, 2.4 s altogether. Where half of all are gone at
-once, rounds of two peers found the last of them after 9 s among 74 entries and after
-12 s among 195, in simulated time; each entry that was lost lately widens the rounds by
-one peer, and the last is found after 5.5 and 6.5 s.
+"""Periodic message exchange between entries, with a bounded number of peers a round.
+
+In each round an entry exchanges one small message with a few peers: one of its own data
+centre and one of another. The registered parts define the content of the messages. A
+round can be started early to spread an update. The ``PeerDirectory`` supplies the peers
+and interprets failed exchanges.
+
+Callers must not be referred to an entry that is gone. A peer that did not answer is
+probed at once, first directly and then through another peer; this takes at most 2.4 s.
+Where half of all entries fail together, rounds of two peers detected the last failure
+after 9 s among 74 entries and after 12 s among 195, in simulated time. Each recently
+lost entry therefore adds one peer to the rounds, which reduces this to 5.5 and 6.5 s.
 """
 
 import math
@@ -39,30 +39,31 @@
 
 ROUND_SECONDS = 1.0
 FAN_OUT = 2
-# A round that was brought forward reaches more peers, since it carries news.
+# Rounds that start early carry an update and therefore reach more peers.
 URGENT_FAN_OUT = 3
 URGENT_GAP_SECONDS = 0.05
-# So many rounds can be brought forward in a row; then one for each so many seconds.
+# Token bucket of the rounds that start early: its size, and the time per new token.
 URGENT_BURST = 5
 URGENT_REFILL_SECONDS = 1.0
-# One round in this many also tries a suspect, so that a heal is noticed.
+# One round in this many also contacts a suspect, to detect its recovery.
 SUSPECT_ROUNDS = 3
-ASK_SECONDS = 1.0
-PROBE_SECONDS = 0.7
-# Each peer that is gone holds a thread for as long as it is asked.
-ASK_THREADS = 16
-# A round asks so many peers more at the most while entries have been lost lately.
-MOST_WIDER = 8
-# An entry that answered this entry so lately is most likely there to probe another.
-REACHED_SECONDS = 2.0
+EXCHANGE_TIMEOUT_SECONDS = 1.0
+PROBE_TIMEOUT_SECONDS = 0.7
+# An unreachable peer occupies a thread until its request times out.
+EXCHANGE_THREADS = 16
+# Upper bound on the peers added to a round because of recently lost entries.
+MAX_EXTRA_PEERS = 8
+# An entry that answered this entry within this time is most likely reachable and can
+# probe another one.
+RECENTLY_REACHED_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Another entry as the exchange needs it.
+    """Another entry as seen by the exchange.
 
     :ivar address: its peer ``address:port``.
-    :ivar suspect: whether it missed its probes.
+    :ivar suspect: whether it failed its probes.
     :ivar missed: whether this entry's own last exchange with it failed.
     """
 
@@ -74,22 +75,22 @@
 
 
 class PeerDirectory(Protocol):
-    """Knows the peers and learns from each exchange whether they are there."""
+    """Lists the peers and records whether each exchange reached them."""
 
     def peers(self) -> Sequence[Peer]:
-        """Return every other entry that may be asked."""
+        """Return every other entry that may be contacted."""
 
     def note_reached(self, name: str) -> None:
-        """Take that a peer answered this entry."""
+        """Record that a peer answered this entry."""
 
     def note_missed(self, name: str) -> bool:
-        """Take that a peer did not answer; True where others should probe it too."""
+        """Record that a peer did not answer; True if others should probe it too."""
 
     def note_unreached(self, name: str) -> None:
-        """Take that another entry's probe found the peer silent as well."""
+        """Record that the probe of another entry also failed to reach the peer."""
 
     def lost_lately(self) -> int:
-        """Return how many entries were found silent in the last seconds."""
+        """Return how many entries became unreachable in the last seconds."""
 
 
 def choose_peers(
@@ -97,11 +98,11 @@
 ) -> list[Peer]:
     """Return the peers of one round.
 
-    A peer whose last exchange failed comes first, so that one lost message is told
-    from a peer that is gone. Of the others, one is of another data centre and the
-    rest are of the entry's own where that is possible.
+    A peer whose last exchange failed comes first, to distinguish a single lost message
+    from an unreachable peer. Of the others, one belongs to another data centre and the
+    rest belong to the entry's own data centre where possible.
 
-    :param count: the most peers; one suspect may come on top.
+    :param count: the maximum number of peers; one suspect may be added to them.
     """
     usable = [peer for peer in peers if not peer.suspect]
     chosen = [peer for peer in usable if peer.missed][:1]
@@ -118,13 +119,13 @@
 
 
 class PeerExchange:
-    """Swaps messages with peers, round by round.
+    """Exchanges messages with peers in rounds.
 
     :param links: carries the messages.
-    :param directory: who the peers are.
-    :param data_centre: the entry's own.
-    :param clock: paces the rounds that are brought forward.
-    :param rng: chooses peers and spreads the rounds.
+    :param directory: supplies the peers.
+    :param data_centre: the entry's own data centre.
+    :param clock: limits the rate of the rounds that start early.
+    :param rng: chooses peers and varies the interval between rounds.
     """
 
     def __init__(
@@ -141,28 +142,28 @@
         self._data_centre = data_centre
         self._rng = rng
         self._parts: list[ExchangePart] = []
-        self._turn = 0
-        self._asked: set[str] = set()
-        # When each peer answered this entry last.
+        self._messages_sent = 0
+        self._in_progress: set[str] = set()
+        # Time of the last answer of each peer to this entry.
         self._reached_at: dict[str, float] = {}
         self._lock = threading.Lock()
-        self._met = threading.Event()
+        self._round_completed = threading.Event()
         self._urgent = threading.Event()
         self._closed = threading.Event()
-        self._asks = ThreadPoolExecutor(ASK_THREADS, "exchange")
+        self._executor = ThreadPoolExecutor(EXCHANGE_THREADS, "exchange")
 
     def add_part(self, part: ExchangePart) -> None:
-        """Let a part ride on the exchange; the first one added goes first."""
+        """Register a part; the first one registered has priority in each message."""
         self._parts.append(part)
 
     def hurry(self) -> None:
-        """Bring the next round forward, since there is news."""
+        """Start the next round early, because there is an update to send."""
         self._urgent.set()
 
     @property
     def met(self) -> threading.Event:
-        """Set once the peers of a round have all answered or been given up."""
-        return self._met
+        """Set once every exchange that was in progress has succeeded or failed."""
+        return self._round_completed
 
     def run(self) -> None:
         """Run rounds until ``close``."""
@@ -182,35 +183,35 @@
             earned = (now - began) / URGENT_REFILL_SECONDS - urgent
             urgent_left = min(URGENT_BURST, urgent_left + earned)
             began = now
-        self._asks.shutdown(wait=False, cancel_futures=True)
+        self._executor.shutdown(wait=False, cancel_futures=True)
 
-    def tell(self) -> None:
-        """Begin a round at once, for news of which this entry is the source."""
+    def start_round(self) -> None:
+        """Start a round at once, for an update that originates at this entry."""
         self.round(URGENT_FAN_OUT)
 
-    def submit(self, work: Callable[[], None]) -> None:
-        """Have a question to a peer asked beside the rounds."""
+    def submit(self, task: Callable[[], None]) -> None:
+        """Run a request to a peer in the background, independently of the rounds."""
         if not self._closed.is_set():
-            self._asks.submit(_logged, work)
+            self._executor.submit(_run_logging_errors, task)
 
     def round(self, count: int) -> None:
-        """Begin one round with a few peers; a slow one does not hold up the others."""
+        """Start one round with a few peers; a slow peer does not delay the others."""
         peers = self._directory.peers()
-        count += min(MOST_WIDER, self._directory.lost_lately())
+        count += min(MAX_EXTRA_PEERS, self._directory.lost_lately())
         for peer in choose_peers(peers, self._data_centre, count, self._rng):
             with self._lock:
-                if peer.name in self._asked:
+                if peer.name in self._in_progress:
                     continue
-                self._asked.add(peer.name)
+                self._in_progress.add(peer.name)
             self.submit(partial(self._exchange, peer))
 
     def close(self) -> None:
-        """End the rounds; what is under way ends by its own timeout."""
+        """Stop the rounds; exchanges in progress end by their own timeout."""
         self._closed.set()
         self._urgent.set()
 
     def answer(self, envelope: Envelope, message: Exchange) -> ExchangeReply:
-        """Take a peer's half of a round and return this entry's."""
+        """Process the parts of a peer's message and return this entry's parts."""
         hand_out(self._parts, envelope.sender, message.parts)
         self._directory.note_reached(envelope.sender)
         return ExchangeReply(self._collect())
@@ -219,62 +220,64 @@
         """Probe an entry on behalf of a peer that cannot reach it."""
         for peer in self._directory.peers():
             if peer.name == message.name:
-                reply = self._links.ask(peer.address, Probe(), PROBE_SECONDS)
+                reply = self._links.ask(peer.address, Probe(), PROBE_TIMEOUT_SECONDS)
                 return ProbeForReply(isinstance(reply, ProbeReply))
         return ProbeForReply(reached=False)
 
     def _exchange(self, peer: Peer) -> None:
         try:
             message = Exchange(self._collect())
-            reply = self._links.ask(peer.address, message, ASK_SECONDS)
+            reply = self._links.ask(peer.address, message, EXCHANGE_TIMEOUT_SECONDS)
             if isinstance(reply, ExchangeReply):
                 hand_out(self._parts, peer.name, reply.parts)
                 self._note_reached(peer.name)
             else:
-                self._make_sure(peer)
+                self._confirm_missed(peer)
         finally:
             with self._lock:
-                self._asked.discard(peer.name)
-                if not self._asked:
-                    self._met.set()
+                self._in_progress.discard(peer.name)
+                if not self._in_progress:
+                    self._round_completed.set()
 
     def _note_reached(self, name: str) -> None:
         self._reached_at[name] = self._clock.now()
         self._directory.note_reached(name)
 
-    def _make_sure(self, silent: Peer) -> None:
-        """Ask a peer that did not answer once more, and then through another one."""
-        self._directory.note_missed(silent.name)
-        reply = self._links.ask(silent.address, Probe(), PROBE_SECONDS)
+    def _confirm_missed(self, unresponsive: Peer) -> None:
+        """Probe a peer that did not answer, first directly and then indirectly."""
+        self._directory.note_missed(unresponsive.name)
+        reply = self._links.ask(unresponsive.address, Probe(), PROBE_TIMEOUT_SECONDS)
         if isinstance(reply, ProbeReply):
-            self._note_reached(silent.name)
-        elif self._directory.note_missed(silent.name):
-            self._probe_through_other(silent)
+            self._note_reached(unresponsive.name)
+        elif self._directory.note_missed(unresponsive.name):
+            self._probe_indirectly(unresponsive)
 
-    def _probe_through_other(self, silent: Peer) -> None:
+    def _probe_indirectly(self, unresponsive: Peer) -> None:
         others = [
             peer
             for peer in self._directory.peers()
-            if not (peer.suspect or peer.missed or peer.name == silent.name)
+            if not (peer.suspect or peer.missed or peer.name == unresponsive.name)
+        ]
+        since = self._clock.now() - RECENTLY_REACHED_SECONDS
+        recently_reached = [
+            p for p in others if self._reached_at.get(p.name, -math.inf) > since
         ]
-        since = self._clock.now() - REACHED_SECONDS
-        there = [p for p in others if self._reached_at.get(p.name, -math.inf) > since]
         if others:
-            other = self._rng.choice(there or others)
-            limit = PROBE_SECONDS + ASK_SECONDS
-            reply = self._links.ask(other.address, ProbeFor(silent.name), limit)
+            other = self._rng.choice(recently_reached or others)
+            limit = PROBE_TIMEOUT_SECONDS + EXCHANGE_TIMEOUT_SECONDS
+            reply = self._links.ask(other.address, ProbeFor(unresponsive.name), limit)
             if isinstance(reply, ProbeForReply) and reply.reached:
-                self._directory.note_reached(silent.name)
+                self._directory.note_reached(unresponsive.name)
                 return
-        self._directory.note_unreached(silent.name)
+        self._directory.note_unreached(unresponsive.name)
 
     def _collect(self) -> dict[str, bytes]:
-        self._turn += 1
-        return collect(self._parts, self._turn)
+        self._messages_sent += 1
+        return collect(self._parts, self._messages_sent)
 
 
-def _logged(work: Callable[[], None]) -> None:
+def _run_logging_errors(task: Callable[[], None]) -> None:
     try:
-        work()
+        task()
     except Exception as error:
         emit(Event.TASK_FAILED, task="exchange", error=describe_error(error))
--- a/boragestream/entry/members.py
+++ b/boragestream/entry/members.py
@@ -1,8 +1,9 @@
-"""Membership and leaving servers on the exchange between entries.
+"""Replication of the membership and leaving-server tables between entries.
 
-Each message carries the sender's own record, some news, and one digest of each table.
-Where digests differ, the entry that sees it asks the other for the buckets that do;
-not more often than ``REPAIR_GAP_SECONDS``, since news under way differs for a moment.
+Each message carries the sender's own record, some recent changes and one digest of each
+table. An entry that sees a different digest requests the differing buckets from the
+sender, at most once per ``MIN_REPAIR_INTERVAL_SECONDS``, since tables differ briefly
+while changes are still being propagated.
 """
 
 import threading
@@ -22,10 +23,10 @@
 
 __all__ = ["MembershipPart"]
 
-REPAIR_GAP_SECONDS = 1.0
-# Records in one message; what does not fit is offered in the next.
-NEWS_MEMBERS = 6
-NEWS_SERVERS = 4
+MIN_REPAIR_INTERVAL_SECONDS = 1.0
+# Maximum records in one message; the remaining ones follow in later messages.
+MEMBERS_PER_MESSAGE = 6
+SERVERS_PER_MESSAGE = 4
 MEMBERS = "members"
 SERVERS = "servers"
 
@@ -34,11 +35,11 @@
 
 
 class MembersOffer(msgspec.Struct, frozen=True, array_like=True):
-    """What one message says.
+    """Content of one message.
 
     :ivar own: the sender's record of itself.
-    :ivar digest: of its table of entries.
-    :ivar servers_digest: of its table of leaving servers.
+    :ivar digest: the digest of its table of entries.
+    :ivar servers_digest: the digest of its table of leaving servers.
     """
 
     own: PackedMember
@@ -49,9 +50,9 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_offers = msgspec.msgpack.Decoder(MembersOffer)
-_member_lists = msgspec.msgpack.Decoder(tuple[PackedMember, ...])
-_server_lists = msgspec.msgpack.Decoder(tuple[PackedServer, ...])
+_offer_decoder = msgspec.msgpack.Decoder(MembersOffer)
+_members_decoder = msgspec.msgpack.Decoder(tuple[PackedMember, ...])
+_servers_decoder = msgspec.msgpack.Decoder(tuple[PackedServer, ...])
 
 
 class MembershipPart:
@@ -59,8 +60,8 @@
 
     :param entries: the table of entries.
     :param servers: the table of leaving servers.
-    :param take_server: takes a leaving server that another entry told of.
-    :param ask_repair: asks a peer, by its name, for what differs.
+    :param take_server: called with each leaving server that another entry reports.
+    :param ask_repair: requests the differing records from the named peer.
     """
 
     name = "m"
@@ -75,43 +76,43 @@
     ) -> None:
         self._entries = entries
         self._servers = servers
-        self._take_server = take_server
-        self._ask_repair = ask_repair
+        self._on_leaving_server = take_server
+        self._request_repair = ask_repair
         self._clock = clock
-        self._repaired_at = -REPAIR_GAP_SECONDS
+        self._repair_requested_at = -MIN_REPAIR_INTERVAL_SECONDS
         self._lock = threading.Lock()
 
     def offer(self, budget: int) -> bytes:
-        """Return the own record, the digests and some news."""
+        """Return the entry's own record, the digests and some recent changes."""
         table = self._entries.table
         offer = MembersOffer(
             _pack_member(self._entries.own),
             reduce(xor, table.digests),
             reduce(xor, self._servers.digests),
-            tuple(_pack_member(m) for m in table.news(NEWS_MEMBERS)),
-            tuple(_pack_server(s) for s in self._servers.news(NEWS_SERVERS)),
+            tuple(_pack_member(m) for m in table.news(MEMBERS_PER_MESSAGE)),
+            tuple(_pack_server(s) for s in self._servers.news(SERVERS_PER_MESSAGE)),
         )
         data = _encoder.encode(offer)
         return data if len(data) <= budget else b""
 
     def take(self, sender: str, data: bytes) -> None:
-        """Merge what a peer offered, and ask it for more where tables differ."""
+        """Merge a peer's offer, and request a repair where the tables differ."""
         try:
-            offer = _offers.decode(data)
+            offer = _offer_decoder.decode(data)
         except msgspec.DecodeError as error:
             emit(Event.PEER_FRAME_REFUSED, peer=sender, reason=repr(error))
             return
         for packed in (offer.own, *offer.members):
             self._entries.take(Member(*packed))
         for packed in offer.servers:
-            self._take_server(LeavingServer(*packed))
+            self._on_leaving_server(LeavingServer(*packed))
         same = offer.digest == reduce(xor, self._entries.table.digests)
         servers_same = offer.servers_digest == reduce(xor, self._servers.digests)
-        if not (same and servers_same) and self._may_repair():
-            self._ask_repair(sender)
+        if not (same and servers_same) and self._may_request_repair():
+            self._request_repair(sender)
 
     def repair(self) -> Repair:
-        """Return the question for what differs."""
+        """Return a request for the records that differ from this entry's."""
         digests = {
             MEMBERS: self._entries.table.digests,
             SERVERS: self._servers.digests,
@@ -119,7 +120,7 @@
         return Repair(digests)
 
     def answer_repair(self, envelope: Envelope, message: Repair) -> RepairReply:
-        """Return the records of the buckets in which a peer differs."""
+        """Return the records of the buckets that differ from the peer's."""
         table = self._entries.table
         members = table.in_buckets(table.differing(message.digests.get(MEMBERS, ())))
         differing = self._servers.differing(message.digests.get(SERVERS, ()))
@@ -133,17 +134,17 @@
 
     def take_repair(self, reply: RepairReply) -> None:
         """Merge the records that a peer sent."""
-        for packed in _member_lists.decode(reply.records[MEMBERS]):
+        for packed in _members_decoder.decode(reply.records[MEMBERS]):
             self._entries.take(Member(*packed))
-        for packed in _server_lists.decode(reply.records[SERVERS]):
-            self._take_server(LeavingServer(*packed))
+        for packed in _servers_decoder.decode(reply.records[SERVERS]):
+            self._on_leaving_server(LeavingServer(*packed))
 
-    def _may_repair(self) -> bool:
+    def _may_request_repair(self) -> bool:
         with self._lock:
             now = self._clock.now()
-            if now - self._repaired_at < REPAIR_GAP_SECONDS:
+            if now - self._repair_requested_at < MIN_REPAIR_INTERVAL_SECONDS:
                 return False
-            self._repaired_at = now
+            self._repair_requested_at = now
             return True
 
 
--- a/boragestream/entry/peers.py
+++ b/boragestream/entry/peers.py
@@ -1,7 +1,7 @@
-"""This entry among the other entries: tables, exchange and the answers to peers.
+"""The other entries: their tables, the exchange with them and the answers to them.
 
-It ties the decisions of ``policy`` to the links; whoever has something else to tell
-other entries adds a part to the exchange.
+This module connects the decisions of ``policy`` to the links. Other subjects that
+entries share are added to the exchange as parts.
 """
 
 import random
@@ -20,17 +20,18 @@
 
 __all__ = ["EntryPeers"]
 
-REPAIR_SECONDS = 2.0
+REPAIR_TIMEOUT_SECONDS = 2.0
 
 
 class EntryPeers:
-    """The other entries as this entry knows and asks them.
+    """Tracks the other entries and communicates with them.
 
     :param name: this entry's name.
     :param incarnation: this entry's incarnation.
     :param data_centre: this entry's data centre.
     :param links: carries the messages.
-    :param server_left: takes a leaving backend server that another entry told of.
+    :param server_left: called with each leaving backend server that another entry
+        reports.
     """
 
     def __init__(
@@ -46,44 +47,48 @@
         self._name = name
         self._links = links
         self._clock = clock
-        self._server_left = server_left
-        self._entries = EntryTable(name, incarnation, clock, self._hurry)
-        self._leaving = new_leaving_table()
+        self._on_server_leaving = server_left
+        self._entries = EntryTable(name, incarnation, clock, self._schedule_round)
+        self._leaving_servers = new_leaving_table()
         self._server_listed_at: dict[str, float] = {}
         self._exchange = PeerExchange(links, self, data_centre, clock, rng)
-        self._members = MembershipPart(
-            self._entries, self._leaving, self._take_server, self._ask_repair, clock
+        self._membership = MembershipPart(
+            self._entries,
+            self._leaving_servers,
+            self._add_leaving_server,
+            self._submit_repair,
+            clock,
         )
-        self._exchange.add_part(self._members)
+        self._exchange.add_part(self._membership)
 
     @property
     def entries(self) -> EntryTable:
-        """What is believed of every entry."""
+        """The table with the state of every entry."""
         return self._entries
 
     @property
     def exchange(self) -> PeerExchange:
-        """The rounds; parts are added here."""
+        """The exchange with the peers, to which parts are added."""
         return self._exchange
 
     @property
     def handlers(self) -> Mapping[type, Handler]:
-        """What answers the messages of peers."""
+        """The handlers of messages from peers, by message class."""
         return {
             Exchange: self._exchange.answer,
             ProbeFor: self._exchange.answer_probe_for,
-            Repair: self._members.answer_repair,
+            Repair: self._membership.answer_repair,
         }
 
     def address(self, name: str) -> str | None:
-        """Return the peer address of an entry, None where it is not listed."""
+        """Return the peer address of an entry; None if it is not listed."""
         for entry in self._entries.listed:
             if entry.name == name:
                 return entry.peer_address
         return None
 
     def peers(self) -> Sequence[Peer]:
-        """Return every other entry that may be asked."""
+        """Return every other entry that may be contacted."""
         states = (MemberState.LIVE, MemberState.SUSPECT, MemberState.LEAVING)
         return [
             Peer(
@@ -98,82 +103,85 @@
         ]
 
     def note_reached(self, name: str) -> None:
-        """Take that a peer answered this entry."""
+        """Record that a peer answered this entry."""
         self._entries.note_reached(name)
 
     def note_missed(self, name: str) -> bool:
-        """Take that a peer did not answer; True where others should probe it too."""
+        """Record that a peer did not answer; True if others should probe it too."""
         return self._entries.note_missed(name)
 
     def note_unreached(self, name: str) -> None:
-        """Take that another entry's probe found the peer silent as well."""
+        """Record that the probe of another entry also failed to reach the peer."""
         emit(Event.ENTRY_SUSPECTED, entry=name)
         self._entries.note_unreached(name)
 
     def lost_lately(self) -> int:
-        """Return how many entries were found silent in the last seconds."""
+        """Return how many entries became unreachable in the last seconds."""
         return self._entries.lost_lately()
 
     def take_entries(self, listed: Iterable[ListedEntry]) -> None:
-        """Take the published list of entries."""
-        before = self._addresses()
+        """Replace the list of entries with the published one."""
+        before = self._peer_addresses()
         self._entries.take_list(listed)
-        after = self._addresses()
+        after = self._peer_addresses()
         for address in before - after:
             self._links.forget(address)
         if after - before:
-            self._hurry()
+            self._schedule_round()
 
     def take_servers(self, listed: Iterable[LeavingServer]) -> None:
-        """Take which backend servers are listed, before they are put to use.
+        """Update which backend servers are listed, before they are put to use.
 
-        Words about servers that are not listed are kept for a while, since a list may
-        omit a server by mistake and name it again.
+        Records of leaving servers that are not listed are kept for a while, since a
+        list may omit a server by mistake and include it again.
         """
         now = self._clock.now()
         for server in listed:
             self._server_listed_at[server.key] = now
-        old = [
+        expired = [
             key
             for key, at in self._server_listed_at.items()
             if now - at > FORGET_SECONDS
         ]
-        for key in old:
+        for key in expired:
             del self._server_listed_at[key]
-        self._leaving.drop(old)
-        for server in self._leaving.records.values():
-            self._server_left(server)
+        self._leaving_servers.drop(expired)
+        for server in self._leaving_servers.records.values():
+            self._on_server_leaving(server)
 
     def tell_leaving(self, server: LeavingServer) -> None:
-        """Tell the other entries what a backend server said of itself."""
-        if self._leaving.take(server):
-            self._exchange.tell()
+        """Notify the other entries of a backend server that says it is leaving."""
+        if self._leaving_servers.take(server):
+            self._exchange.start_round()
 
     def leave(self) -> None:
-        """Tell the other entries that this one is leaving."""
+        """Notify the other entries that this one is leaving."""
         self._entries.say(MemberState.LEAVING)
-        self._exchange.tell()
+        self._exchange.start_round()
 
-    def _addresses(self) -> set[str]:
+    def _peer_addresses(self) -> set[str]:
         return {entry.peer_address for entry in self._entries.listed}
 
-    def _hurry(self) -> None:
+    def _schedule_round(self) -> None:
         self._exchange.hurry()
 
-    def _take_server(self, server: LeavingServer) -> None:
-        # A word about a server that is not listed here is heeded, since the list may
-        # lag, but not passed on, so that it dies out.
-        self._server_left(server)
-        if server.key in self._server_listed_at and self._leaving.take(server):
-            self._hurry()
+    def _add_leaving_server(self, server: LeavingServer) -> None:
+        # A report about a server that is not listed here is applied, since the list
+        # may lag, but not propagated, so that reports about removed servers stop
+        # circulating.
+        self._on_server_leaving(server)
+        if server.key in self._server_listed_at and self._leaving_servers.take(server):
+            self._schedule_round()
 
-    def _ask_repair(self, name: str) -> None:
+    def _submit_repair(self, name: str) -> None:
         self._exchange.submit(partial(self._repair, name))
 
     def _repair(self, name: str) -> None:
         address = self.address(name)
         if address is None:
             return
-        reply = self._links.ask(address, self._members.repair(), REPAIR_SECONDS)
+        reply = self._links.ask(
+            address, self._membership.repair(), REPAIR_TIMEOUT_SECONDS
+        )
         if isinstance(reply, RepairReply):
-            self._members.take_repair(reply)
+            self._membership.take_repair(reply)
--- a/tests/standins/membership.py
+++ b/tests/standins/membership.py
@@ -10,11 +10,11 @@
 import random
 
 from boragestream.entry.exchange import (
-    ASK_SECONDS,
+    EXCHANGE_TIMEOUT_SECONDS,
     FAN_OUT,
-    MOST_WIDER,
-    PROBE_SECONDS,
-    REACHED_SECONDS,
+    MAX_EXTRA_PEERS,
+    PROBE_TIMEOUT_SECONDS,
+    RECENTLY_REACHED_SECONDS,
     ROUND_SECONDS,
     URGENT_BURST,
     URGENT_FAN_OUT,
@@ -77,7 +77,7 @@
             self.urgent_left + (now - self.round_at) / URGENT_REFILL_SECONDS,
         )
         count = URGENT_FAN_OUT if self.urgent else FAN_OUT
-        count += min(MOST_WIDER, self.table.lost_lately())
+        count += min(MAX_EXTRA_PEERS, self.table.lost_lately())
         self.urgent_left -= self.urgent
         self.urgent = False
         self.round_at = now + URGENT_GAP_SECONDS
@@ -108,7 +108,7 @@
         if other.alive:
             self.crowd.after(LINK_SECONDS, lambda: self.swap(other))
         else:
-            self.crowd.after(ASK_SECONDS, lambda: self.miss(other))
+            self.crowd.after(EXCHANGE_TIMEOUT_SECONDS, lambda: self.miss(other))
 
     def swap(self, other):
         """Swap messages with an entry that is there."""
@@ -125,7 +125,9 @@
     def miss(self, silent):
         """Take that an entry did not answer, and ask it once more."""
         self.table.note_missed(silent.name)
-        self.crowd.after(PROBE_SECONDS, lambda: self.probe_through_other(silent))
+        self.crowd.after(
+            PROBE_TIMEOUT_SECONDS, lambda: self.probe_through_other(silent)
+        )
 
     def probe_through_other(self, silent):
         """Ask through another entry."""
@@ -137,12 +139,16 @@
             for peer in self.peers()
             if not (peer.suspect or peer.missed or peer.name == silent.name)
         ]
-        since = self.crowd.clock.now() - REACHED_SECONDS
+        since = self.crowd.clock.now() - RECENTLY_REACHED_SECONDS
         there = [p for p in others if self.reached_at.get(p.name, 0) > since]
         took = 0.0
         if others:
             other = self.crowd.entries[self.crowd.rng.choice(there or others).name]
-            took = PROBE_SECONDS if other.alive else PROBE_SECONDS + ASK_SECONDS
+            took = (
+                PROBE_TIMEOUT_SECONDS
+                if other.alive
+                else PROBE_TIMEOUT_SECONDS + EXCHANGE_TIMEOUT_SECONDS
+            )
         self.crowd.after(took, lambda: self.give_up(silent))
 
     def give_up(self, silent):
