--- a/boragestream/entry/published_relay.py
+++ b/boragestream/entry/published_relay.py
@@ -1,10 +1,10 @@
-"""What the platform publishes, passed on by those entries that watch it to the others.
+"""Relays the platform's published data from the entries that watch it to the others.
 
-The exchange carries how old the sender's knowledge can be, and the positions that it
-has; an entry that lacks changes asks the sender for them, as does one that does not use
-the same values against a store that has come back from a copy. The configuration itself
-travels as differences with ``entry.relay``; its version says here whether it is known.
-When an entry asks the platform itself is decided by ``policy.watching``.
+The exchange carries the maximum age of the sender's data and its positions. An entry
+that lacks changes requests them from the sender; so does an entry that holds different
+values against a store that was restored from a copy. The configuration document is
+transferred as differences by ``entry.relay``; here its version only shows whether the
+entry has it. ``policy.watching`` decides when an entry queries the platform itself.
 """
 
 import math
@@ -42,36 +42,37 @@
 
 __all__ = ["PublishedRelay"]
 
-ASK_SECONDS = 1.0
-# Ages are sent in milliseconds up to this; what is older says nothing.
-MOST_AGE_MS = 60_000
-# Digests of held values that were asked for already; they change as times end.
-KEPT_DIGESTS = 32
+REQUEST_TIMEOUT_SECONDS = 1.0
+# Ages in messages are capped at this value; a capped age carries no information.
+MAX_AGE_MS = 60_000
+# Digests remembered for held values that were already requested. Digests change as held
+# values expire.
+MAX_REQUESTED_DIGESTS = 32
 NO_WRITE = -1
 
 
-class PublishedWord(msgspec.Struct, frozen=True, array_like=True):
-    """What an entry knows of what is published.
-
-    :ivar age_ms: how old it can be.
-    :ivar trouble_ms: how long ago the platform did not answer somebody.
-    :ivar revision: of the servers.
-    :ivar configuration_revision: up to which ``version`` is the latest.
-    :ivar version: of the configuration in force.
-    :ivar confirmed_ms: how long ago all of it was confirmed; an earlier release does
-        not tell.
-    :ivar drained_revision: up to which ``drained`` is known; 0 where an earlier release
-        does not tell.
-    :ivar drained: the keys of the drained data centres, all of them.
-    :ivar era: of ``revision``; an earlier release sends none of these.
-    :ivar configuration_era: of ``configuration_revision``.
-    :ivar drained_era: of ``drained_revision``.
+class PublishedOffer(msgspec.Struct, frozen=True, array_like=True):
+    """The state of the published data at an entry.
+
+    :ivar age_ms: the maximum age of the data.
+    :ivar trouble_ms: the time since the platform last failed to answer any entry.
+    :ivar revision: the revision of the servers.
+    :ivar configuration_revision: the revision up to which ``version`` is the latest.
+    :ivar version: the version of the configuration in force.
+    :ivar confirmed_ms: the time since all of the data was confirmed; earlier releases
+        do not send it.
+    :ivar drained_revision: the revision of ``drained``; 0 from an earlier release,
+        which does not send it.
+    :ivar drained: the keys of all drained data centres.
+    :ivar era: the era of ``revision``; earlier releases send no eras.
+    :ivar configuration_era: the era of ``configuration_revision``.
+    :ivar drained_era: the era of ``drained_revision``.
     :ivar drained_written: the revision of each key's last write.
-    :ivar drained_held: what is used against a returned store: of each its key, the
-        milliseconds left, and the revisions of the write that is used and of the one
+    :ivar drained_held: the values held against a returned store, each as its key, the
+        milliseconds left, and the revisions of the write that is used and of the write
         that the store has.
-    :ivar era_ms: how long ago ``drained_era`` was first seen; None where not known.
-    :ivar held: a digest of the servers' values that are used against the store.
+    :ivar era_ms: the time since ``drained_era`` was first seen; None if unknown.
+    :ivar held: a digest of the servers' values that are held against the store.
     """
 
     age_ms: int
@@ -79,7 +80,7 @@
     revision: int
     configuration_revision: int
     version: int
-    confirmed_ms: int = MOST_AGE_MS
+    confirmed_ms: int = MAX_AGE_MS
     drained_revision: int = 0
     drained: tuple[str, ...] = ()
     era: int = NO_ERA
@@ -92,37 +93,37 @@
 
     @property
     def position(self) -> Position:
-        """Up to where the servers are known."""
+        """The position of the known servers."""
         return Position(self.era, self.revision)
 
     @property
     def configuration_position(self) -> Position:
-        """Up to where the configuration is known."""
+        """The position of the known configuration."""
         return Position(self.configuration_era, self.configuration_revision)
 
     @property
     def drained_position(self) -> Position:
-        """Up to where the drained data centres are known."""
+        """The position of the known drained data centres."""
         return Position(self.drained_era, self.drained_revision)
 
 
 _encoder = msgspec.msgpack.Encoder()
-_words = msgspec.msgpack.Decoder(PublishedWord)
+_offer_decoder = msgspec.msgpack.Decoder(PublishedOffer)
 
 
 class PublishedRelay:
-    """The part of the exchange that carries what the platform publishes.
+    """The part of the exchange that carries the platform's published data.
 
-    :param following: how old what is known here can be.
-    :param confirming: how long ago that was confirmed.
+    :param following: tracks the maximum age of this entry's data.
+    :param confirming: tracks the time since that data was confirmed.
     :param servers: the published servers.
-    :param operators: what operators publish.
+    :param operators: the values published by operators.
     :param in_force: returns the configuration in force; None while there is none.
-    :param take_servers: takes what a peer passes on of the servers.
-    :param take_drained: takes what a peer passes on of the drained data centres.
-    :param links: carries the questions.
+    :param take_servers: called with the server changes that a peer sends.
+    :param take_drained: called with the drained data centres that a peer sends.
+    :param links: carries the requests.
     :param address: returns a peer's address by its name.
-    :param submit: has a question asked beside the rounds.
+    :param submit: runs a request in the background, independently of the rounds.
     """
 
     name = "p"
@@ -152,12 +153,13 @@
         self._address = address
         self._submit = submit
         self._clock = clock
-        self._questions = OpenQuestions()
-        self._digests: deque[int] = deque(maxlen=KEPT_DIGESTS)
+        self._open_requests = OpenQuestions()
+        self._requested_digests: deque[int] = deque(maxlen=MAX_REQUESTED_DIGESTS)
 
     def offer(self, budget: int) -> bytes:
-        """Return what is known here; empty while that is nothing."""
-        # The ages go first: what comes in between makes them too old, never too young.
+        """Return the state of this entry's data; empty while there is none."""
+        # Ages are read before the data: a change in between makes them too high,
+        # never too low.
         age, confirmed = self._following.age(), self._confirming.age()
         in_force, servers = self._in_force(), self._servers.position
         if in_force is None or servers is None:
@@ -166,7 +168,7 @@
         drained = self._operators.drained_centres() or Relayed(None, 0, (), {})
         withheld = {held.key for held in drained.held if held.used is None}
         orders = [c for c in drained.changes if c.key not in withheld]
-        word = PublishedWord(
+        offer = PublishedOffer(
             _milliseconds(age),
             _milliseconds(self._following.trouble_seconds()),
             servers.revision,
@@ -183,29 +185,29 @@
             _optional_milliseconds(drained.era_seconds),
             self._servers.held_digest,
         )
-        return _encoder.encode(word)
+        return _encoder.encode(offer)
 
     def take(self, sender: str, data: bytes) -> None:
-        """Take what a peer knows, and ask it for what is not known here."""
+        """Process a peer's state, and request the changes that this entry lacks."""
         try:
-            word = _words.decode(data)
+            offer = _offer_decoder.decode(data)
         except msgspec.DecodeError as error:
             emit(Event.PEER_FRAME_REFUSED, peer=sender, reason=repr(error))
             return
-        came = self._clock.now()
-        if word.drained_revision:
-            # At once, whatever else the sender knows more.
-            self._take_drained(_drained(word))
-        known = self._servers.position
-        if known is not None and word.position <= known:
-            self._adopt(word, came)
-            if not self._holds_otherwise(word):
+        received_at = self._clock.now()
+        if offer.drained_revision:
+            # Applied at once, independently of the other changes that the sender has.
+            self._take_drained(_drained(offer))
+        own_position = self._servers.position
+        if own_position is not None and offer.position <= own_position:
+            self._adopt_ages(offer, received_at)
+            if not self._held_values_differ(offer):
                 return
-        if self._questions.begin(sender):
-            self._submit(partial(self._ask, sender, word, came))
+        if self._open_requests.begin(sender):
+            self._submit(partial(self._request_changes, sender, offer, received_at))
 
     def answer(self, envelope: Envelope, message: PublishedAsk) -> PublishedReply:
-        """Tell a peer what has changed since what it knows."""
+        """Return to a peer the changes since its position."""
         relayed = self._servers.since(message.after, message.era)
         if relayed is None:
             return PublishedReply()
@@ -220,59 +222,65 @@
             tuple(_pack(held) for held in relayed.held),
         )
 
-    def _ask(self, peer: str, word: PublishedWord, came: float) -> None:
+    def _request_changes(
+        self, peer: str, offer: PublishedOffer, received_at: float
+    ) -> None:
         try:
             address = self._address(peer)
             if address is None:
                 return
-            question = PublishedAsk(self._servers.revision, self._servers.era)
-            reply = self._links.ask(address, question, ASK_SECONDS)
+            request = PublishedAsk(self._servers.revision, self._servers.era)
+            reply = self._links.ask(address, request, REQUEST_TIMEOUT_SECONDS)
             if isinstance(reply, Failure):
                 emit(Event.INSTANCES_UNREACHABLE, failure=reply.describe())
             elif isinstance(reply, PublishedReply) and reply.revision:
                 self._take_servers(_relayed(reply))
-                self._adopt(word, came)
-                if word.held and self._servers.position == word.position:
-                    self._digests.append(word.held)
+                self._adopt_ages(offer, received_at)
+                if offer.held and self._servers.position == offer.position:
+                    self._requested_digests.append(offer.held)
         finally:
-            self._questions.end(peer)
+            self._open_requests.end(peer)
 
-    def _holds_otherwise(self, word: PublishedWord) -> bool:
-        """Tell whether a peer uses other values against the store than this entry."""
-        if not word.held or word.position != self._servers.position:
+    def _held_values_differ(self, offer: PublishedOffer) -> bool:
+        """Return whether a peer at the same position holds different values."""
+        if not offer.held or offer.position != self._servers.position:
             return False
-        return word.held != self._servers.held_digest and word.held not in self._digests
+        return (
+            offer.held != self._servers.held_digest
+            and offer.held not in self._requested_digests
+        )
 
-    def _adopt(self, word: PublishedWord, came: float) -> None:
-        """Take a word as one's own where all that it speaks of is known here."""
-        known, in_force = self._servers.position, self._in_force()
-        if known is None or known < word.position or in_force is None:
+    def _adopt_ages(self, offer: PublishedOffer, received_at: float) -> None:
+        """Adopt the ages in a peer's offer if this entry has all the data it covers."""
+        own_position, in_force = self._servers.position, self._in_force()
+        if own_position is None or own_position < offer.position or in_force is None:
             return
-        if known.era > word.era:
-            # What the sender knows ended with the era before.
+        if own_position.era > offer.era:
+            # The sender's data belongs to an earlier era.
             return
-        if in_force.version < word.version or word.age_ms >= MOST_AGE_MS:
+        if in_force.version < offer.version or offer.age_ms >= MAX_AGE_MS:
             return
-        if word.drained_position < word.configuration_position:
-            # An earlier release, whose age says nothing of drained data centres.
+        if offer.drained_position < offer.configuration_position:
+            # The sender runs an earlier release, whose age does not cover the drained
+            # data centres.
             return
         operators = self._operators.configuration_position
-        if operators is not None and operators.era > word.configuration_era:
+        if operators is not None and operators.era > offer.configuration_era:
             return
-        if in_force.version == word.version:
-            position = word.configuration_position
+        if in_force.version == offer.version:
+            position = offer.configuration_position
             self._operators.take_revision(position.revision, position.era)
-        waited = self._clock.now() - came
+        elapsed = self._clock.now() - received_at
         trouble = math.inf
-        if word.trouble_ms < MOST_AGE_MS:
-            trouble = word.trouble_ms / 1000 + waited
-        self._following.take_notice(word.age_ms / 1000 + waited, trouble)
-        if word.confirmed_ms < MOST_AGE_MS:
-            self._confirming.take_notice(word.confirmed_ms / 1000 + waited)
+        if offer.trouble_ms < MAX_AGE_MS:
+            trouble = offer.trouble_ms / 1000 + elapsed
+        self._following.take_notice(offer.age_ms / 1000 + elapsed, trouble)
+        if offer.confirmed_ms < MAX_AGE_MS:
+            self._confirming.take_notice(offer.confirmed_ms / 1000 + elapsed)
 
 
 def _milliseconds(seconds: float) -> int:
-    return math.ceil(min(MOST_AGE_MS, seconds * 1000))
+    return math.ceil(min(MAX_AGE_MS, seconds * 1000))
 
 
 def _optional_milliseconds(seconds: float | None) -> int | None:
@@ -293,23 +301,23 @@
     return None if revision == NO_WRITE else Write(revision, ORDER)
 
 
-def _drained(word: PublishedWord) -> Relayed:
-    revision = word.drained_revision
-    written = word.drained_written or (revision,) * len(word.drained)
-    orders = dict(zip(word.drained, written, strict=False))
+def _drained(offer: PublishedOffer) -> Relayed:
+    revision = offer.drained_revision
+    written = offer.drained_written or (revision,) * len(offer.drained)
+    orders = dict(zip(offer.drained, written, strict=False))
     held = tuple(
         Held(key, left / 1000, _order(used), _order(stored))
-        for key, left, used, stored in word.drained_held
+        for key, left, used, stored in offer.drained_held
     )
-    # Orders that are not obeyed although the store has them.
+    # Orders that the store has but that are not applied.
     orders.update((h.key, h.stored.revision) for h in held if h.stored is not None)
     return Relayed(
         None,
         revision,
         tuple(Change(key, at, ORDER) for key, at in orders.items()),
         {h.key: h.seconds for h in held if h.stored is None},
-        word.drained_era,
-        era_seconds=_optional_seconds(word.era_ms),
+        offer.drained_era,
+        era_seconds=_optional_seconds(offer.era_ms),
         held=held,
     )
 
--- a/boragestream/entry/relay.py
+++ b/boragestream/entry/relay.py
@@ -1,8 +1,9 @@
-"""The configuration document among entries: each tells its version, the later ask.
+"""Distribution of the configuration document between entries.
 
-The exchange carries version and digest; an entry that hears of a newer one asks for it
-and gets a compressed difference from what it has, or the whole where that fails. What
-is taken is decided by ``policy`` alone.
+The exchange carries the version and digest in force at the sender. An entry that sees a
+newer version requests the document and receives a compressed difference from its own
+version, or the whole document if that fails. ``policy`` alone decides which documents
+are accepted.
 """
 
 import threading
@@ -27,22 +28,23 @@
 
 __all__ = ["ConfigurationRelay", "RelayedVersion", "TakeText"]
 
-ASK_SECONDS = 3.0
+REQUEST_TIMEOUT_SECONDS = 3.0
 DIGEST_CHARACTERS = 16
-KEPT_DIFFERENCES = 4
-KEPT_REFUSALS = 8
+MAX_CACHED_DIFFERENCES = 4
+MAX_REMEMBERED_OFFERS = 8
 
-# Checks a canonical text from a peer, named second, and offers the document; True
-# where the text is valid, whatever became of the offer.
+# Validates a canonical text from a peer, whose name is the second argument, and offers
+# the document to the configuration. Returns True if the text is valid, whether or not
+# the document is accepted.
 TakeText = Callable[[bytes, str], bool]
 
 
 class RelayedVersion(Protocol):
-    """A version in force."""
+    """A version of the configuration in force."""
 
     @property
     def version(self) -> int:
-        """It rises with every change."""
+        """The version number; it increases with every change."""
 
     @property
     def digest(self) -> str:
@@ -50,7 +52,7 @@
 
 
 class RelayedConfiguration(Protocol):
-    """Holds the version in force and the texts of the last few."""
+    """Holds the version in force and the texts of the last few versions."""
 
     @property
     def current(self) -> RelayedVersion | None:
@@ -61,7 +63,7 @@
 
 
 class VersionOffer(msgspec.Struct, frozen=True, array_like=True):
-    """What an entry has in force.
+    """The version in force at an entry.
 
     :ivar digest: the first characters of the digest, in hexadecimal.
     """
@@ -78,17 +80,17 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_offers = msgspec.msgpack.Decoder(VersionOffer)
+_offer_decoder = msgspec.msgpack.Decoder(VersionOffer)
 
 
 class ConfigurationRelay:
     """The part of the exchange that carries the configuration.
 
-    :param configuration: what is in force here.
-    :param take_text: takes a text from a peer.
-    :param links: carries the questions.
+    :param configuration: the configuration in force at this entry.
+    :param take_text: processes a text received from a peer.
+    :param links: carries the requests.
     :param address: returns a peer's address by its name.
-    :param submit: has a question asked beside the rounds.
+    :param submit: runs a request in the background, independently of the rounds.
     """
 
     name = "c"
@@ -106,16 +108,16 @@
         self._links = links
         self._address = address
         self._submit = submit
-        self._questions = OpenQuestions()
-        self._refused: OrderedDict[VersionOffer, None] = OrderedDict()
-        self._conflicts: OrderedDict[VersionOffer, None] = OrderedDict()
+        self._open_requests = OpenQuestions()
+        self._invalid_offers: OrderedDict[VersionOffer, None] = OrderedDict()
+        self._reported_conflicts: OrderedDict[VersionOffer, None] = OrderedDict()
         self._differences: OrderedDict[tuple[str, str], Difference] = OrderedDict()
         self._lock = threading.Lock()
 
     @property
     def asking(self) -> bool:
-        """Whether a question to a peer is open."""
-        return bool(self._questions)
+        """Whether a request to a peer is in progress."""
+        return bool(self._open_requests)
 
     def offer(self, budget: int) -> bytes:
         """Return the version and digest in force."""
@@ -126,9 +128,9 @@
         return _encoder.encode(VersionOffer(current.version, digest))
 
     def take(self, sender: str, data: bytes) -> None:
-        """Ask the sender for its document where that is newer."""
+        """Request the sender's document if its version is newer."""
         try:
-            offer = _offers.decode(data)
+            offer = _offer_decoder.decode(data)
         except msgspec.DecodeError as error:
             emit(Event.PEER_FRAME_REFUSED, peer=sender, reason=repr(error))
             return
@@ -137,11 +139,11 @@
             self._note_conflict(sender, offer, current.digest[:DIGEST_CHARACTERS])
         if current is not None and offer.version <= current.version:
             return
-        if offer not in self._refused and self._questions.begin(sender):
-            self._submit(partial(self._ask, sender, offer))
+        if offer not in self._invalid_offers and self._open_requests.begin(sender):
+            self._submit(partial(self._request_document, sender, offer))
 
     def answer(self, envelope: Envelope, message: DocumentAsk) -> DocumentReply:
-        """Return the document in force as a difference from what the peer has."""
+        """Return the document in force as a difference from the peer's version."""
         current = self._configuration.current
         if current is None:
             return DocumentReply(0)
@@ -150,7 +152,7 @@
             current.version, difference.base, difference.result, difference.data
         )
 
-    def _ask(self, peer: str, offer: VersionOffer) -> None:
+    def _request_document(self, peer: str, offer: VersionOffer) -> None:
         try:
             current = self._configuration.current
             text = self._fetch(peer, current.digest if current else "")
@@ -159,15 +161,15 @@
             if isinstance(text, Failure):
                 emit(Event.CONFIGURATION_UNREACHABLE, failure=text.describe())
             elif not self._take_text(text, peer):
-                self._remember(self._refused, offer)
+                self._remember(self._invalid_offers, offer)
         finally:
-            self._questions.end(peer)
+            self._open_requests.end(peer)
 
     def _fetch(self, peer: str, base: str) -> bytes | Failure:
         address = self._address(peer)
         if address is None:
             return NothingNewer(peer)
-        reply = self._links.ask(address, DocumentAsk(base), ASK_SECONDS)
+        reply = self._links.ask(address, DocumentAsk(base), REQUEST_TIMEOUT_SECONDS)
         if isinstance(reply, Failure):
             return reply
         if not isinstance(reply, DocumentReply) or not reply.version:
@@ -177,20 +179,20 @@
 
     def _difference(self, base: str, digest: str) -> Difference:
         with self._lock:
-            known = self._differences.get((base, digest))
-            if known is not None:
-                return known
+            cached = self._differences.get((base, digest))
+            if cached is not None:
+                return cached
             text = self._configuration.text(digest) or b""
             difference = encode_difference(self._configuration.text(base) or b"", text)
             self._differences[base, digest] = difference
-            while len(self._differences) > KEPT_DIFFERENCES:
+            while len(self._differences) > MAX_CACHED_DIFFERENCES:
                 self._differences.popitem(last=False)
             return difference
 
     def _note_conflict(self, peer: str, offer: VersionOffer, digest: str) -> None:
-        if offer.digest == digest or offer in self._conflicts:
+        if offer.digest == digest or offer in self._reported_conflicts:
             return
-        self._remember(self._conflicts, offer)
+        self._remember(self._reported_conflicts, offer)
         emit(
             Event.CONFIGURATION_CONFLICT,
             source=peer,
@@ -204,5 +206,5 @@
     ) -> None:
         with self._lock:
             offers[offer] = None
-            while len(offers) > KEPT_REFUSALS:
+            while len(offers) > MAX_REMEMBERED_OFFERS:
                 offers.popitem(last=False)
--- a/tests/features/steps/drained_centres.py
+++ b/tests/features/steps/drained_centres.py
@@ -11,7 +11,7 @@
 from boragestream.daemon.operator_values import OperatorValues
 from boragestream.document.calls import Piece, PieceFault
 from boragestream.document.routes import PieceLimits
-from boragestream.entry.published_relay import PublishedRelay, PublishedWord
+from boragestream.entry.published_relay import PublishedOffer, PublishedRelay
 from boragestream.policy.cold_servers import ColdServers
 from boragestream.policy.operator_table import OperatorTable
 from boragestream.policy.piece_queue import PieceOrder
@@ -366,7 +366,7 @@
 @when("another entry tells what it knows up to revision {revision:d}, {release}")
 def step(context, revision, release):
     drained = (revision, ("op/evacuate/hall",)) if "like" in release else (0, ())
-    word = PublishedWord(100, 60_000, 20, revision, 3, 100, *drained)
+    word = PublishedOffer(100, 60_000, 20, revision, 3, 100, *drained)
     context.relay.take("other", msgspec.msgpack.encode(word))
     context.revision = revision
 
