--- a/boragestream/entry/address_sync.py
+++ b/boragestream/entry/address_sync.py
@@ -1,14 +1,16 @@
-"""Entries that know different others tell each other all addresses until they agree.
-
-Load pattern: all of hundreds of entries are lost and start again, or one of them does.
-The addresses that ride on each message are a few; by these alone 195 entries knew one
-another after some 25 seconds, and for that long four or five of them took themselves
-for the owner of the same queue: their calls met at the servers, and half of all
-requests were late. A digest of the names goes with each message. While it differs from
-a peer's, or nobody has agreed yet, one peer after the other is asked for its book and
-told of this entry, so that a crowd agrees as soon as its last member has asked.
-
-Left out: what the addresses mean (``entry.addresses``), and how the entries are.
+"""Synchronisation of whole address books between entries.
+
+Load pattern: hundreds of entries restart together, or a single one does. The exchange
+carries only a few addresses in each message. With these alone, 195 entries took some
+25 seconds to learn of one another. During that time four or five of them considered
+themselves the owner of the same queue, their calls collided at the servers, and half of
+all requests were late. Each message therefore carries a digest of the names. While the
+digest differs from a peer's, or too few peers have agreed yet, an entry requests the
+books of one peer after another and sends each its own record, so that all entries of a
+group agree as soon as the last one has made its request.
+
+The meaning of the addresses (``entry.addresses``) and the state of the entries are out
+of scope here.
 """
 
 import random
@@ -28,25 +30,26 @@
 
 __all__ = ["AddressSync"]
 
-# A peer that is there answers in milliseconds; one that is not yet must not hold up the
-# question to the next.
-ASK_SECONDS = 0.4
-# A compressed book of 370 entries has some 4 KB.
-GAP_SECONDS = 0.2
-# In a crowd that starts two entries can know the same few others.
-ENOUGH = 3
+# A reachable peer answers within milliseconds; one that has not started yet must not
+# delay the request to the next.
+REQUEST_TIMEOUT_SECONDS = 0.4
+# Limits the traffic: a compressed book of 370 entries has some 4 KB.
+MIN_REQUEST_INTERVAL_SECONDS = 0.2
+# One agreeing peer is not enough: while many entries start, two of them can know the
+# same few others.
+REQUIRED_AGREEMENTS = 3
 MAX_BOOK_BYTES = 1_048_576
 
 _encoder = msgspec.msgpack.Encoder()
-_digests = msgspec.msgpack.Decoder(int)
+_digest_decoder = msgspec.msgpack.Decoder(int)
 
 
 class AddressSync:
-    """The part of the exchange that finds differences between address books.
+    """The part of the exchange that detects differences between address books.
 
-    :param links: carries the questions.
-    :param submit: has a question asked beside the rounds.
-    :param rng: chooses whom to ask.
+    :param links: carries the requests.
+    :param submit: runs a request in the background, independently of the rounds.
+    :param rng: chooses the peer to contact.
     """
 
     name = "b"
@@ -64,70 +67,74 @@
         self._submit = submit
         self._clock = clock
         self._rng = rng
-        # Answers in a row that agreed since books were found to differ.
-        self._agreed = 0
-        self._not_before = clock.now()
+        # Consecutive agreeing answers since books were last found to differ.
+        self._agreements = 0
+        self._next_request_at = clock.now()
         self._lock = threading.Lock()
 
     @property
     def agreed(self) -> bool:
-        """Whether the last few entries that were asked know the same ones."""
-        return self._agreed >= ENOUGH or not self._book.others()
+        """Whether the last few peers that answered know the same entries."""
+        return (
+            self._agreements >= REQUIRED_AGREEMENTS or not self._book.other_addresses()
+        )
 
     def offer(self, budget: int) -> bytes:
         """Return the digest of the known names."""
         return _encoder.encode(self._book.digest)
 
     def take(self, sender: str, data: bytes) -> None:
-        """Ask the sender for its book where that differs."""
+        """Request the sender's book if its digest differs."""
         try:
-            digest = _digests.decode(data)
+            digest = _digest_decoder.decode(data)
         except msgspec.DecodeError as error:
             emit(Event.PEER_FRAME_REFUSED, peer=sender, reason=repr(error))
             return
         if digest != self._book.digest:
-            self._agreed = 0
-            self._begin(sender)
+            self._agreements = 0
+            self._start_request(sender)
 
     def look_again(self) -> None:
-        """Ask some entry while too few have agreed since books were found to differ."""
-        if self._agreed >= ENOUGH:
+        """Request a random entry's book until enough peers in a row have agreed."""
+        if self._agreements >= REQUIRED_AGREEMENTS:
             return
-        others = self._book.others()
-        if others:
-            self._begin(self._rng.choice(others))
+        other_addresses = self._book.other_addresses()
+        if other_addresses:
+            self._start_request(self._rng.choice(other_addresses))
 
     def answer(self, envelope: Envelope, message: AddressesAsk) -> AddressesReply:
-        """Take the sender's record, and return the whole book where books differ."""
+        """Add the sender's record, and return the whole book if the books differ."""
         if message.record:
             self._book.take(envelope.sender, message.record)
         if message.digest == self._book.digest:
             return AddressesReply()
-        self._agreed = 0
-        packed = zstandard.ZstdCompressor().compress(self._book.packed())
-        return AddressesReply(packed)
+        self._agreements = 0
+        encoded_records = zstandard.ZstdCompressor().compress(
+            self._book.encoded_records()
+        )
+        return AddressesReply(encoded_records)
 
-    def _begin(self, address: str) -> None:
+    def _start_request(self, address: str) -> None:
         with self._lock:
             now = self._clock.now()
-            if now < self._not_before:
+            if now < self._next_request_at:
                 return
-            self._not_before = now + GAP_SECONDS
-        self._submit(partial(self._ask, address))
+            self._next_request_at = now + MIN_REQUEST_INTERVAL_SECONDS
+        self._submit(partial(self._request_book, address))
 
-    def _ask(self, address: str) -> None:
-        message = AddressesAsk(self._book.digest, self._book.packed_own())
-        reply = self._links.ask(address, message, ASK_SECONDS)
-        # A peer that gives no answer is noticed by the rounds.
+    def _request_book(self, address: str) -> None:
+        message = AddressesAsk(self._book.digest, self._book.encoded_own_record())
+        reply = self._links.ask(address, message, REQUEST_TIMEOUT_SECONDS)
+        # The rounds of the exchange detect a peer that gives no answer.
         if not isinstance(reply, AddressesReply):
             return
         if not reply.book:
-            self._agreed += 1
+            self._agreements += 1
             return
-        self._agreed = 0
-        unpack = zstandard.ZstdDecompressor().decompress
+        self._agreements = 0
+        decompress = zstandard.ZstdDecompressor().decompress
         try:
-            book = unpack(reply.book, max_output_size=MAX_BOOK_BYTES)
+            book = decompress(reply.book, max_output_size=MAX_BOOK_BYTES)
         except zstandard.ZstdError as error:
             emit(Event.PEER_FRAME_REFUSED, peer=address, reason=repr(error))
             return
--- a/boragestream/entry/addresses.py
+++ b/boragestream/entry/addresses.py
@@ -1,8 +1,8 @@
-"""Who the other entries are, learnt from them: an address book on the exchange.
+"""Discovery of the other entries: an address book that is shared through the exchange.
 
-It begins with a few seeds, which may be out of date or gone, and grows by what each
-peer tells. How the entries are, and whether they leave, is told by ``entry.members``;
-that whole books are asked for where they differ, by ``entry.address_sync``.
+It starts with a few seeds, which may be out of date or gone, and grows by the records
+of each peer. ``entry.members`` carries the state of the entries and whether they leave;
+``entry.address_sync`` requests whole address books where they differ.
 """
 
 import random
@@ -18,16 +18,15 @@
 
 __all__ = ["AddressBook"]
 
-RECORDS_IN_OFFER = 12
-# What is told of the published versions and of two drained data centres goes with every
-# message; the addresses, which fill all the room that they are given, leave this much
-# for it.
-OTHERS_BYTES = 150
+MAX_OFFERED_RECORDS = 12
+# Bytes of a message left free for the published versions and two drained data centres,
+# which every message carries. The addresses would otherwise fill all the room they get.
+RESERVED_BYTES = 150
 MAX_RECORDS = 4096
 
 
 class _Record(msgspec.Struct, frozen=True, array_like=True):
-    """One entry: its name, which is its address for entries, and that for callers."""
+    """One entry: its name, which is its peer address, and its address for callers."""
 
     name: str
     host: str
@@ -36,14 +35,14 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_records = msgspec.msgpack.Decoder(tuple[_Record, ...])
+_records_decoder = msgspec.msgpack.Decoder(tuple[_Record, ...])
 
 
 class AddressBook:
     """The part of the exchange that carries addresses.
 
     :param own: this entry.
-    :param rng: chooses what is told next.
+    :param rng: chooses which records are offered next.
     :param changed: called with all entries after each change.
     """
 
@@ -57,86 +56,86 @@
     ) -> None:
         self._own = own
         self._rng = rng
-        self._changed = changed
-        self._known: dict[str, ListedEntry] = {own.name: own}
+        self._on_change = changed
+        self._entries: dict[str, ListedEntry] = {own.name: own}
         self._digest = _digest(own.name)
         self._lock = threading.Lock()
 
     @property
     def entries(self) -> tuple[ListedEntry, ...]:
-        """Every entry known; the host of one that was never heard is empty."""
-        return tuple(self._known.values())
+        """Every known entry; the host is empty until a record of the entry arrives."""
+        return tuple(self._entries.values())
 
     @property
     def digest(self) -> int:
-        """Of the names of all entries that were heard; equal books have equal ones."""
+        """The digest of the names of all entries with a record."""
         return self._digest
 
-    def packed(self) -> bytes:
-        """Return the records of all entries that were heard, as ``take`` reads them."""
+    def encoded_records(self) -> bytes:
+        """Return all known records, in the encoding that ``take`` reads."""
         with self._lock:
-            known = [entry for entry in self._known.values() if entry.host]
-        return _encoder.encode([_pack(entry) for entry in known])
+            entries = [entry for entry in self._entries.values() if entry.host]
+        return _encoder.encode([_pack(entry) for entry in entries])
 
-    def packed_own(self) -> bytes:
-        """Return the record of this entry, as ``take`` reads it."""
+    def encoded_own_record(self) -> bytes:
+        """Return the record of this entry, in the encoding that ``take`` reads."""
         return _encoder.encode([_pack(self._own)])
 
-    def others(self) -> list[str]:
-        """Return the addresses of all other entries, seeds that were not heard too."""
+    def other_addresses(self) -> list[str]:
+        """Return the addresses of all other entries, including the seeds."""
         with self._lock:
-            return [name for name in self._known if name != self._own.name]
+            return [name for name in self._entries if name != self._own.name]
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Take the seeds of the settings."""
+        """Add the seeds from the settings."""
         with self._lock:
             for address in addresses:
                 seed = ListedEntry(address, "", address, "")
-                self._known.setdefault(address, seed)
-        self._changed(self.entries)
+                self._entries.setdefault(address, seed)
+        self._on_change(self.entries)
 
     def tell_again(self) -> None:
-        """Name all entries again, so that none is forgotten while it is known."""
-        self._changed(self.entries)
+        """Call ``changed`` with all entries, so that no known entry expires there."""
+        self._on_change(self.entries)
 
     def offer(self, budget: int) -> bytes:
-        """Return the own record and some of the others, as many as there is room."""
+        """Return this entry's own record and as many others as fit."""
         with self._lock:
-            others = [e for e in self._known.values() if e.host and e != self._own]
-        count = min(RECORDS_IN_OFFER, len(others))
+            others = [e for e in self._entries.values() if e.host and e != self._own]
+        count = min(MAX_OFFERED_RECORDS, len(others))
         offered = [self._own, *self._rng.sample(others, count)]
         while offered:
             data = _encoder.encode([_pack(entry) for entry in offered])
-            if len(data) <= budget - OTHERS_BYTES:
+            if len(data) <= budget - RESERVED_BYTES:
                 return data
             offered.pop()
         return b""
 
     def take(self, sender: str, data: bytes) -> None:
-        """Merge what a peer offered."""
+        """Merge the records that a peer offered."""
         try:
-            records = _records.decode(data)
+            records = _records_decoder.decode(data)
         except msgspec.DecodeError as error:
             emit(Event.PEER_FRAME_REFUSED, peer=sender, reason=repr(error))
             return
         with self._lock:
-            changed = [r for r in records if self._take(r)]
+            changed = [r for r in records if self._add(r)]
         if changed:
-            self._changed(self.entries)
+            self._on_change(self.entries)
 
-    def _take(self, record: _Record) -> bool:
-        known = self._known.get(record.name)
+    def _add(self, record: _Record) -> bool:
+        current = self._entries.get(record.name)
         if record.name == self._own.name or not record.host:
             return False
-        if known is None and len(self._known) >= MAX_RECORDS:
+        if current is None and len(self._entries) >= MAX_RECORDS:
             return False
         name, host, centre = record.name, record.host, record.data_centre
         entry = ListedEntry(name, host, name, centre, capacity=record.capacity)
-        if known is not None and replace(known, leaving=False) == entry:
+        if current is not None and replace(current, leaving=False) == entry:
             return False
-        if known is None or not known.host:
+        if current is None or not current.host:
             self._digest ^= _digest(name)
-        self._known[record.name] = entry
+        self._entries[record.name] = entry
         return True
 
 
--- a/boragestream/entry/baselines.py
+++ b/boragestream/entry/baselines.py
@@ -1,8 +1,8 @@
 """Baselines of stage times on the exchange between entries.
 
-An entry that starts under load sees its servers only with a queue; it learns from the
-others how long a stage takes without one. Each message carries as many as there is
-room for, in turn. What a baseline is used for is left to ``policy.service_window``.
+An entry that starts under load measures stage times that include queueing. From the
+other entries it learns how long a stage takes without a queue. Each message carries as
+many baselines as fit, in rotation. ``policy.service_window`` uses the baselines.
 """
 
 import msgspec
@@ -18,46 +18,49 @@
 PackedBaseline = tuple[str, str, bool, int]
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(tuple[PackedBaseline, ...])
+_baselines_decoder = msgspec.msgpack.Decoder(tuple[PackedBaseline, ...])
 
 
 class BaselinePart:
     """The part of the exchange that carries baselines.
 
-    :param times: the measured times of this entry.
+    :param times: the measured stage times of this entry.
     """
 
     name = "b"
 
     def __init__(self, times: StageTimes) -> None:
         self._times = times
-        self._turn = 0
+        self._next_offset = 0
 
     def offer(self, budget: int) -> bytes:
-        """Return some baselines; a quarter of the room is enough for them."""
-        known = sorted(self._times.baselines().items())
-        if not known:
+        """Return some baselines, in at most a quarter of the budget."""
+        baselines = sorted(self._times.baselines().items())
+        if not baselines:
             return b""
-        shift = self._turn % len(known)
+        start = self._next_offset % len(baselines)
         packed: list[PackedBaseline] = []
-        left = budget // 4
-        for (pipeline, stage, streamed), seconds in [*known[shift:], *known[:shift]]:
-            one = (pipeline, stage, streamed, round(seconds * 1_000_000))
-            left -= len(_encoder.encode(one))
-            if left < 0:
+        remaining_bytes = budget // 4
+        for (pipeline, stage, streamed), seconds in [
+            *baselines[start:],
+            *baselines[:start],
+        ]:
+            baseline = (pipeline, stage, streamed, round(seconds * 1_000_000))
+            remaining_bytes -= len(_encoder.encode(baseline))
+            if remaining_bytes < 0:
                 break
-            packed.append(one)
-        self._turn = shift + max(1, len(packed))
+            packed.append(baseline)
+        self._next_offset = start + max(1, len(packed))
         return _encoder.encode(packed) if packed else b""
 
     def take(self, sender: str, data: bytes) -> None:
-        """Take the baselines that a peer offered."""
+        """Add the baselines that a peer offered."""
         try:
-            baselines = _decoder.decode(data)
+            baselines = _baselines_decoder.decode(data)
         except msgspec.DecodeError as error:
             emit(Event.PEER_FRAME_REFUSED, peer=sender, reason=repr(error))
             return
-        for pipeline, stage, streamed, micros in baselines[:MAX_BASELINES]:
-            if micros > 0:
-                seconds = micros / 1_000_000
+        for pipeline, stage, streamed, microseconds in baselines[:MAX_BASELINES]:
+            if microseconds > 0:
+                seconds = microseconds / 1_000_000
                 self._times.take_baseline(pipeline, stage, seconds, streamed)
--- a/boragestream/entry/knowledge_messages.py
+++ b/boragestream/entry/knowledge_messages.py
@@ -1,8 +1,7 @@
-"""The messages by which entries tell each other what they know.
+"""Messages by which entries share their state.
 
-Who the entries are, what the platform publishes of the servers, and which requests
-crash servers. The envelope, and the rule for fields that are added, are those of
-``entry.messages``.
+They cover the known entries, the platform's published servers, and the requests that
+crash servers. ``entry.messages`` defines the envelope and the rule for added fields.
 """
 
 import msgspec
@@ -20,22 +19,22 @@
     "QuarantineReply",
 ]
 
-# A request's fingerprint, how many of its quarantines and of its shorter rows of
-# crashes an answer has ended, its crashes in a row since, and the milliseconds since
-# the last one.
+# A request's fingerprint; the number of its quarantines, and of its shorter runs of
+# crashes, that an answer has ended; its consecutive crashes since then; and the
+# milliseconds since the last crash.
 PackedCrashes = tuple[bytes, int, int, int, int]
 # The revision and the value of a key's last write.
 PackedWrite = tuple[int, bytes]
-# A key, for how many milliseconds more, the write that is used and the one that the
-# store has; None for none.
+# A key, the milliseconds for which it is still held, the write that is used, and the
+# write that the store has. A write is None if there is none.
 PackedHeld = tuple[str, int, PackedWrite | None, PackedWrite | None]
 
 
 class AddressesAsk(msgspec.Struct, frozen=True, tag=True):
-    """Asks which entries a peer knows, and tells it of the sender.
+    """Requests the address book of a peer and sends the sender's own record.
 
-    :ivar digest: of the names that the sender knows.
-    :ivar record: the address book's own encoding of the sender's record.
+    :ivar digest: the digest of the names that the sender knows.
+    :ivar record: the sender's record, in the encoding of the address book.
     """
 
     digest: int
@@ -43,21 +42,21 @@
 
 
 class AddressesReply(msgspec.Struct, frozen=True, tag=True):
-    """The entries that a peer knows.
+    """The address book of a peer.
 
-    :ivar book: the address book's own encoding of them, compressed; empty where both
-        know the same.
+    :ivar book: the records, compressed, in the encoding of the address book; empty if
+        both books have the same names.
     """
 
     book: bytes = b""
 
 
 class PublishedAsk(msgspec.Struct, frozen=True, tag=True):
-    """Asks what is published of the servers.
+    """Requests the published servers.
 
-    :ivar after: the revision that the sender knows; None for none.
-    :ivar era: of that revision; ``NO_ERA`` where the store, or an earlier release,
-        names none.
+    :ivar after: the revision that the sender has; None if it has none.
+    :ivar era: the era of that revision; ``NO_ERA`` if the store, or an earlier release,
+        sends none.
     """
 
     after: int | None = None
@@ -65,18 +64,19 @@
 
 
 class PublishedReply(msgspec.Struct, frozen=True, tag=True):
-    """What is published of the servers.
-
-    :ivar after: the revision from which the changes lead on; None where they are all
-        values.
-    :ivar revision: up to which they are complete; 0 where nothing is known.
-    :ivar changes: of each its key, its revision and its value, None for a removal.
-    :ivar lapsed: for how many milliseconds keys that lapsed are still kept.
-    :ivar era: of the revision; ``NO_ERA`` where the store, or an earlier release,
-        names none.
-    :ivar after_era: of the revision from which the changes lead on.
-    :ivar era_ms: how long ago the era was first seen; None where that is unknown.
-    :ivar held: what is used against what a returned store says.
+    """The published servers.
+
+    :ivar after: the revision to which the changes apply; None if they are the complete
+        set of values.
+    :ivar revision: the revision up to which they are complete; 0 if nothing is known.
+    :ivar changes: the key, revision and value of each change; the value is None for a
+        removal.
+    :ivar lapsed: the milliseconds for which each lapsed key is still kept.
+    :ivar era: the era of the revision; ``NO_ERA`` if the store, or an earlier release,
+        sends none.
+    :ivar after_era: the era of the revision to which the changes apply.
+    :ivar era_ms: the time since the era was first seen; None if unknown.
+    :ivar held: the values that are used instead of those of a returned store.
     """
 
     after: int | None = None
@@ -90,10 +90,10 @@
 
 
 class QuarantineAsk(msgspec.Struct, frozen=True, tag=True):
-    """Asks which requests are quarantined."""
+    """Requests the quarantined requests."""
 
 
 class QuarantineReply(msgspec.Struct, frozen=True, tag=True):
-    """The requests that are quarantined."""
+    """The quarantined requests."""
 
     records: tuple[PackedCrashes, ...] = ()
--- a/boragestream/entry/messages.py
+++ b/boragestream/entry/messages.py
@@ -1,8 +1,8 @@
-"""The messages between entries, as msgspec structs in MessagePack.
+"""Messages between entries, as msgspec structs in MessagePack.
 
-Every message travels in an envelope that names its version, deployment and sender and
+Every message travels in an envelope that carries its version, deployment and sender and
 is authenticated with the deployment's peer key. A field may be added with a default;
-any other change raises ``PROTOCOL_VERSION``. Sending is left to ``entry.links``.
+any other change increments ``PROTOCOL_VERSION``. ``entry.links`` sends the messages.
 """
 
 import hashlib
@@ -68,44 +68,44 @@
 
 
 class Probe(msgspec.Struct, frozen=True, tag=True):
-    """Asks whether a peer is there."""
+    """Checks whether a peer answers."""
 
 
 class ProbeReply(msgspec.Struct, frozen=True, tag=True):
-    """Says that the peer is there.
+    """Confirms that the peer is running.
 
-    :ivar version: the version of the document in force there, 0 for none.
+    :ivar version: the version of the document in force at the peer; 0 if there is none.
     """
 
     version: int
 
 
 class Rejected(msgspec.Struct, frozen=True, tag=True):
-    """Says that a message was not taken, and why, by the failure's code."""
+    """Reports, by the code of the failure, why a message was rejected."""
 
     code: str
 
 
 class Exchange(msgspec.Struct, frozen=True, tag=True):
-    """One half of a round between two entries.
+    """The first half of an exchange between two entries.
 
-    :ivar parts: the bytes of each part by the part's name.
+    :ivar parts: the bytes of each part, by the name of the part.
     """
 
     parts: dict[str, bytes]
 
 
 class ExchangeReply(msgspec.Struct, frozen=True, tag=True):
-    """The other half of the round.
+    """The second half of an exchange between two entries.
 
-    :ivar parts: the bytes of each part by the part's name.
+    :ivar parts: the bytes of each part, by the name of the part.
     """
 
     parts: dict[str, bytes]
 
 
 class ProbeFor(msgspec.Struct, frozen=True, tag=True):
-    """Asks a peer to probe an entry that the sender cannot reach.
+    """Requests that a peer probe an entry that the sender cannot reach.
 
     :ivar name: the entry's name.
     """
@@ -114,15 +114,15 @@
 
 
 class ProbeForReply(msgspec.Struct, frozen=True, tag=True):
-    """Says whether the entry answered."""
+    """Reports whether the entry answered."""
 
     reached: bool
 
 
 class Repair(msgspec.Struct, frozen=True, tag=True):
-    """Asks for the records in which two tables differ.
+    """Requests the records in which two tables differ.
 
-    :ivar digests: the sender's digests of its buckets, by the table's name.
+    :ivar digests: the digests of the sender's buckets, by the name of the table.
     """
 
     digests: dict[str, tuple[int, ...]]
@@ -131,16 +131,16 @@
 class RepairReply(msgspec.Struct, frozen=True, tag=True):
     """The records of the buckets that differ.
 
-    :ivar records: the table's own encoding of them, by the table's name.
+    :ivar records: the records in the encoding of the table, by the name of the table.
     """
 
     records: dict[str, bytes]
 
 
 class DocumentAsk(msgspec.Struct, frozen=True, tag=True):
-    """Asks for the document in force.
+    """Requests the document in force.
 
-    :ivar base: the digest of the document that the sender has; empty for none.
+    :ivar base: the digest of the sender's document; empty if it has none.
     """
 
     base: str = ""
@@ -149,8 +149,8 @@
 class DocumentReply(msgspec.Struct, frozen=True, tag=True):
     """The document in force, compressed against a base.
 
-    :ivar version: its version, 0 where there is none.
-    :ivar base: the digest of the base; empty where the document is whole.
+    :ivar version: the version of the document; 0 if there is none.
+    :ivar base: the digest of the base; empty if the document is complete.
     :ivar digest: the digest of the result.
     """
 
@@ -161,11 +161,11 @@
 
 
 class TicketPost(msgspec.Struct, frozen=True, tag=True):
-    """Asks the issuer of a ticket to run a call under it; answered at once.
+    """Requests that the issuer of a ticket run a call under it; answered immediately.
 
-    :ivar account: the client account whose key the caller gave.
+    :ivar account: the client account to which the caller's key belongs.
     :ivar body: the caller's input, JSON text.
-    :ivar left_ms: milliseconds left when it was sent.
+    :ivar left_ms: the milliseconds left until the deadline when it was sent.
     """
 
     ticket: str
@@ -177,7 +177,7 @@
 
 
 class TicketAsk(msgspec.Struct, frozen=True, tag=True):
-    """Asks the issuer of a ticket what became of it; an unused one ends by it."""
+    """Requests a ticket's state from its issuer; this invalidates an unused ticket."""
 
     ticket: str
     account: str
@@ -185,17 +185,17 @@
 
 
 class RequestAsk(msgspec.Struct, frozen=True, tag=True):
-    """Asks an entry what became of a request that it ran without a ticket."""
+    """Requests the state of a request that an entry ran without a ticket."""
 
     account: str
     request_id: str
 
 
 class CallState(msgspec.Struct, frozen=True, tag=True):
-    """Says what became of a call.
+    """Reports the state of a call.
 
-    :ivar outcome: the outcome's name, empty while the call is in progress.
-    :ivar request_id: the request that runs or ran it.
+    :ivar outcome: the name of the outcome; empty while the call is in progress.
+    :ivar request_id: the request that runs or ran the call.
     :ivar status: the HTTP status line of the reply.
     :ivar headers: the HTTP headers of the reply.
     :ivar content: the reply, JSON text.
@@ -245,7 +245,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """What travels: who sends, the message's bytes, and their authentication."""
+    """The transmitted frame: sender, encoded message and authentication code."""
 
     version: int
     deployment: str
@@ -257,10 +257,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """Who sends.
+    """The identity and keys with which an entry sends and receives.
 
     :ivar key: the deployment's peer key.
-    :ivar also_accepted: keys that are accepted beside it while the key is changed.
+    :ivar also_accepted: additional keys that are accepted during a key rotation.
     """
 
     deployment: str
@@ -274,15 +274,15 @@
 class MessageRefused(Failure):
     """A frame is no message of this deployment.
 
-    :ivar reason: what is wrong with it.
+    :ivar reason: why the frame was refused.
     """
 
     reason: str
 
 
 _encoder = msgspec.msgpack.Encoder()
-_envelopes = msgspec.msgpack.Decoder(Envelope)
-_messages = msgspec.msgpack.Decoder(Message)
+_envelope_decoder = msgspec.msgpack.Decoder(Envelope)
+_message_decoder = msgspec.msgpack.Decoder(Message)
 
 
 def seal(sender: Sender, message: Message) -> bytes:
@@ -302,15 +302,15 @@
 def open_envelope(
     receiver: Sender, frame: bytes
 ) -> tuple[Envelope, Message] | MessageRefused:
-    """Check a frame and return its envelope and message.
+    """Verify a frame and return its envelope and message.
 
-    :param receiver: who receives; deployment and key must agree with the sender's.
+    :param receiver: the receiver; its deployment and key must match the sender's.
     :param frame: bytes from the network.
     """
     if len(frame) > MAX_MESSAGE_BYTES:
         return MessageRefused("too long")
     try:
-        envelope = _envelopes.decode(frame)
+        envelope = _envelope_decoder.decode(frame)
     except msgspec.DecodeError:
         return MessageRefused("not an envelope")
     if envelope.version != PROTOCOL_VERSION:
@@ -320,7 +320,7 @@
     if not _is_authentic(receiver, envelope):
         return MessageRefused("another key")
     try:
-        return envelope, _messages.decode(envelope.body)
+        return envelope, _message_decoder.decode(envelope.body)
     except msgspec.DecodeError:
         return MessageRefused("not a known message")
 
@@ -343,7 +343,8 @@
     mac = hashlib.blake2b(key=key, digest_size=MAC_BYTES)
     for part in parts:
         data = part.encode() if isinstance(part, str) else part
-        # The length keeps two parts from being shifted into one another.
+        # The length prefix keeps bytes from being moved between adjacent parts without
+        # changing the code.
         mac.update(len(data).to_bytes(4, "big"))
         mac.update(data)
     return mac.digest()
