--- a/boragestream/entry/exchange.py
+++ b/boragestream/entry/exchange.py
@@ -89,7 +89,7 @@
     def note_unreached(self, name: str) -> None:
         """Record that the probe of another entry also failed to reach the peer."""
 
-    def lost_lately(self) -> int:
+    def recent_losses(self) -> int:
         """Return how many entries became unreachable in the last seconds."""
 
 
@@ -197,7 +197,7 @@
     def round(self, count: int) -> None:
         """Start one round with a few peers; a slow peer does not delay the others."""
         peers = self._directory.peers()
-        count += min(MAX_EXTRA_PEERS, self._directory.lost_lately())
+        count += min(MAX_EXTRA_PEERS, self._directory.recent_losses())
         for peer in choose_peers(peers, self._data_centre, count, self._rng):
             with self._lock:
                 if peer.name in self._in_progress:
--- a/boragestream/entry/members.py
+++ b/boragestream/entry/members.py
@@ -132,7 +132,7 @@
             }
         )
 
-    def take_repair(self, reply: RepairReply) -> None:
+    def merge_repair(self, reply: RepairReply) -> None:
         """Merge the records that a peer sent."""
         for packed in _members_decoder.decode(reply.records[MEMBERS]):
             self._entries.take(Member(*packed))
--- a/boragestream/entry/peers.py
+++ b/boragestream/entry/peers.py
@@ -115,7 +115,7 @@
         emit(Event.ENTRY_SUSPECTED, entry=name)
         self._entries.note_unreached(name)
 
-    def lost_lately(self) -> int:
+    def recent_losses(self) -> int:
         """Return how many entries became unreachable in the last seconds."""
         return self._entries.lost_lately()
 
@@ -184,4 +184,4 @@
             address, self._membership.repair(), REPAIR_TIMEOUT_SECONDS
         )
         if isinstance(reply, RepairReply):
-            self._membership.take_repair(reply)
+            self._membership.merge_repair(reply)
--- a/tests/standins/membership.py
+++ b/tests/standins/membership.py
@@ -162,7 +162,7 @@
         other = self.crowd.entries[name]
         if other.alive:
             reply = other.part.answer_repair(None, self.part.repair())
-            self.crowd.after(2 * LINK_SECONDS, lambda: self.part.take_repair(reply))
+            self.crowd.after(2 * LINK_SECONDS, lambda: self.part.merge_repair(reply))
 
     def named(self):
         """Return the names that it would tell callers."""
