--- a/tests/features/steps/entry_peers.py
+++ b/tests/features/steps/entry_peers.py
@@ -1,4 +1,4 @@
-"""Steps on entries that know one another, as separate processes."""
+"""Steps on membership and leaving servers among entries in separate processes."""
 
 import itertools
 import time
@@ -11,16 +11,16 @@
 from tests.standins.sites import example_key
 
 ACCOUNT = "patan-counter"
-LIMIT_SECONDS = 40
+TIMEOUT_SECONDS = 40
 
 
 def split_names(text):
-    """Return the names of a list in a step."""
+    """Return the names in a step's comma-separated list."""
     return text.split(", ")
 
 
-def offered(fleet, name):
-    """Return the entries that one entry tells callers to use."""
+def offered_entries(fleet, name):
+    """Return the entries whose addresses one entry gives to callers."""
     client = Client(example_key(ACCOUNT), (fleet.entries[name].address,))
     addresses = set(client.addresses())
     return sorted(
@@ -31,12 +31,14 @@
 
 
 def wait_for_offer(fleet, names, wanted):
-    """Wait until entries tell callers to use certain entries."""
+    """Wait until entries give callers the addresses of exactly the wanted entries."""
     for name in names:
         try:
-            wait_until(lambda n=name: offered(fleet, n) == wanted, LIMIT_SECONDS)
+            wait_until(
+                lambda n=name: offered_entries(fleet, n) == wanted, TIMEOUT_SECONDS
+            )
         except TimeoutError:
-            raise AssertionError((name, offered(fleet, name))) from None
+            raise AssertionError((name, offered_entries(fleet, name))) from None
 
 
 @given('every entry offers "{wanted}"')
@@ -58,7 +60,7 @@
 
 @when('"{name}" has ended')
 def step(context, name):
-    context.fleet.entries[name].popen.wait(LIMIT_SECONDS)
+    context.fleet.entries[name].popen.wait(TIMEOUT_SECONDS)
 
 
 @when('"{name}" is started again')
@@ -88,20 +90,20 @@
 
 @when('the network splits into "{one}" and "{other}"')
 def step(context, one, other):
-    context.suspected = suspected(context.fleet)
+    context.suspicion_count = suspicion_count(context.fleet)
     context.network.split(split_names(one), split_names(other))
     context.add_cleanup(context.network.heal)
 
 
-def suspected(fleet):
-    """Return how often entries have suspected others."""
+def suspicion_count(fleet):
+    """Return how often entries have logged that they suspect another."""
     logged = [e["name"] for p in fleet.entries.values() for e in p.events()]
     return logged.count("entry_suspected")
 
 
 @then("no entry suspected another since the split")
 def step(context):
-    assert suspected(context.fleet) == context.suspected
+    assert suspicion_count(context.fleet) == context.suspicion_count
 
 
 @when("the network heals")
@@ -124,7 +126,7 @@
 
 
 def server_state(fleet, name, server):
-    """Return what an entry believes of a backend server."""
+    """Return a backend server's state in an entry's status."""
     servers = fleet.status(name)["servers"]
     return {s["name"]: s["state"] for s in servers}.get(server)
 
@@ -135,7 +137,7 @@
     for name in context.fleet.entries:
         wait_until(
             lambda n=name: server_state(context.fleet, n, server) == state,
-            LIMIT_SECONDS,
+            TIMEOUT_SECONDS,
             f"{name} holding {server} to be {state}",
         )
 
@@ -162,12 +164,14 @@
 
     inputs = itertools.count()
 
-    def called():
-        # The same input would go to the same server again.
+    def call_and_check():
+        # A repeated input would be routed to the same server.
         client.call(pipeline, f"who is there {next(inputs)}", address=address)
         return server_state(context.fleet, name, server) == state
 
-    wait_until(called, LIMIT_SECONDS, f"{name} holding {server} to be {state}")
+    wait_until(
+        call_and_check, TIMEOUT_SECONDS, f"{name} holding {server} to be {state}"
+    )
 
 
 @when("the instance list is published again")
--- a/tests/features/steps/entry_relay.py
+++ b/tests/features/steps/entry_relay.py
@@ -1,4 +1,4 @@
-"""Steps on the configuration in force, over separate processes."""
+"""Steps on the distribution of the configuration over separate processes."""
 
 import copy
 import threading
@@ -19,7 +19,7 @@
 
 
 def document(context, version, **policies):
-    """Return the fleet's document in a version."""
+    """Return the fleet's document with the given version and policies."""
     changed = copy.deepcopy(context.fleet.document)
     changed["version"] = version
     changed["policies"] = {**changed.get("policies", {}), **policies}
@@ -27,7 +27,7 @@
 
 
 def newest(context):
-    """Return the newest version that was published."""
+    """Return the newest published version."""
     return getattr(context.fleet, "newest", 1)
 
 
@@ -38,7 +38,7 @@
 
 
 def wait_for_version(context, names):
-    """Wait until entries have the newest version in force."""
+    """Wait until the newest version is in force on entries."""
     context.fleet.wait_for_version(newest(context), names, LIMIT_SECONDS)
 
 
@@ -95,9 +95,9 @@
 
 @when("an invalid document of the next version is published")
 def step(context):
-    broken = document(context, newest(context) + 1)
-    broken["pipelines"][0]["stages"][0]["service"] = "nowhere"
-    context.fleet.publish(broken)
+    invalid = document(context, newest(context) + 1)
+    invalid["pipelines"][0]["stages"][0]["service"] = "nowhere"
+    context.fleet.publish(invalid)
 
 
 @then('every entry logs "{event}"')
@@ -123,7 +123,8 @@
 @when("two documents of the next version are published in a race")
 def step(context):
     publish_next(context, answer_keep_seconds=1.0)
-    # A watch that came back after both publications would see the second alone.
+    # A watch that returns after both publications would deliver only the second
+    # document.
     wait_for_version(context, ["entry-1"])
     context.fleet.publish(document(context, newest(context), answer_keep_seconds=2.0))
 
@@ -139,23 +140,23 @@
 
 @when('the next version is published while "{names}" sleep')
 def step(context, names):
-    asleep = names.split(", ")
+    frozen_names = names.split(", ")
     fleet = context.fleet
-    # The service is down at both ends of the sleep, so that no sleeper finds the
-    # answer to an earlier watch when it wakes up.
+    # The service is down when the entries are frozen and when they are woken, so that
+    # none of them reads the answer to an earlier watch after it wakes.
     fleet.platform_mode(down=[DOCUMENT])
     wait_for_calls(context, 0)
-    for name in asleep:
+    for name in frozen_names:
         fleet.entries[name].freeze()
     time.sleep(SETTLE_SECONDS)
     try:
         fleet.platform_mode(down=[])
         publish_next(context)
-        wait_for_version(context, [n for n in fleet.entries if n not in asleep])
+        wait_for_version(context, [n for n in fleet.entries if n not in frozen_names])
         fleet.platform_mode(down=[DOCUMENT])
         context.add_cleanup(fleet.platform_mode, down=[])
     finally:
-        for name in asleep:
+        for name in frozen_names:
             fleet.entries[name].wake()
 
 
@@ -173,7 +174,7 @@
 
 
 def wait_for_calls(context, count):
-    """Wait until so many calls wait at the configuration service."""
+    """Wait until the configuration service has this number of pending calls."""
     port = context.fleet.platform.port
     wait_until(
         lambda: fetch(port, "/standin/calls")["waiting"][DOCUMENT] == count,
@@ -198,7 +199,7 @@
 
 
 def read_document(context, index):
-    """Read the document as an entry does that knows an index."""
+    """Read the document like an entry that has the given index."""
     platform = context.fleet.platform
     return read_platform(f"{ADDRESS}:{platform.port}", DOCUMENT, index, 0.1)
 
@@ -221,8 +222,8 @@
     assert reading.index > context.reading.index and reading.value
 
 
-def publish_with(context, index):
-    """Publish the next version with an index."""
+def publish_next_at_index(context, index):
+    """Publish the next version with the given index."""
     context.fleet.newest = newest(context) + 1
     context.fleet.publish(document(context, context.fleet.newest), index)
 
@@ -232,7 +233,7 @@
     "and the next version has the last index"
 )
 def step(context):
-    publish_with(context, read_document(context, 0).index)
+    publish_next_at_index(context, read_document(context, 0).index)
     context.fleet.platform_mode(era=1)
     context.add_cleanup(context.fleet.platform_mode, era=0)
 
@@ -245,23 +246,23 @@
     index = read_document(context, 0).index
     context.fleet.platform_mode(down=[DOCUMENT])
     time.sleep(SETTLE_SECONDS)
-    publish_with(context, index)
+    publish_next_at_index(context, index)
     context.fleet.platform_mode(down=[])
 
 
 @when("a service answers 304 to all, each time in another era")
 def step(context):
-    context.questions = 0
+    context.requests_received = 0
 
-    class Never(Handler):
-        """Says that nothing was modified."""
+    class NotModifiedHandler(Handler):
+        """Answers every request with 304."""
 
         def get(self, path, query):
-            """Answer in another era than before."""
-            context.questions += 1
-            self.not_modified([("X-Platform-Era", str(context.questions))])
+            """Answer with a new era each time."""
+            context.requests_received += 1
+            self.not_modified([("X-Platform-Era", str(context.requests_received))])
 
-    server = Server((ADDRESS, 0), Never)
+    server = Server((ADDRESS, 0), NotModifiedHandler)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     context.add_cleanup(server.server_close)
     context.add_cleanup(server.shutdown)
@@ -272,4 +273,4 @@
 @then("reading it fails after {count:d} questions")
 def step(context, count):
     assert isinstance(context.reading, PlatformUnreachable), context.reading
-    assert context.questions == count
+    assert context.requests_received == count
