--- a/boragestream/policy/configuration.py
+++ b/boragestream/policy/configuration.py
@@ -1,8 +1,7 @@
-"""Which document is in force: versions rise only.
+"""The configuration document in force, whose version only increases.
 
-Documents are offered by the configuration service and by other entries; whoever
-offers, an older version is never taken. Fetching documents is left to the packages
-of the peers.
+The configuration service and other entries offer documents. An older version is never
+accepted from either. Other packages fetch the documents.
 """
 
 import threading
@@ -16,12 +15,13 @@
 
 __all__ = ["ConfigurationInForce", "DocumentInForce", "Offer"]
 
-# Texts kept as bases of differences; a peer that is further behind gets a whole one.
+# Texts kept as bases of differences; a peer that is further behind receives a whole
+# text.
 KEPT_TEXTS = 4
 
 
 class Offer(Enum):
-    """What became of an offered document."""
+    """The result of offering a document."""
 
     TAKEN = "it is in force now"
     SAME = "it was in force already"
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentInForce:
-    """A document with its look-ups; one request uses one from end to end.
+    """A document with its lookup tables; a request uses the same one throughout.
 
-    :ivar digest: of the canonical text.
+    :ivar digest: the digest of the canonical text.
     """
 
     document: Document
@@ -50,36 +50,35 @@
 
 
 class ConfigurationInForce:
-    """Holds the document in force and decides on offered ones.
+    """Holds the document in force and accepts or rejects offered documents.
 
-    :param deployment: the deployment whose documents are taken.
+    :param deployment: the deployment whose documents are accepted.
     """
 
     def __init__(self, deployment: str) -> None:
         self._deployment = deployment
         self._current: DocumentInForce | None = None
         self._texts: OrderedDict[str, bytes] = OrderedDict()
-        self._taken: list[Callable[[], None]] = []
+        self._listeners: list[Callable[[], None]] = []
         self._lock = threading.Lock()
 
     @property
     def current(self) -> DocumentInForce | None:
-        """The document in force, None while there is none."""
+        """The document in force; None before the first one."""
         return self._current
 
-    def when_taken(self, taken: Callable[[], None]) -> None:
-        """Have a function called after each document that comes into force."""
-        self._taken.append(taken)
+    def when_taken(self, listener: Callable[[], None]) -> None:
+        """Register a function that is called after each document takes effect."""
+        self._listeners.append(listener)
 
     def text(self, digest: str) -> bytes | None:
-        """Return a canonical text of the last few that were in force."""
+        """Return the canonical text of a recent document; None if it is not kept."""
         return self._texts.get(digest)
 
     def offer(self, document: Document, text: bytes | None = None) -> Offer:
-        """Take a checked document where it is newer than the one in force.
+        """Put a validated document in force if it is newer than the current one.
 
-        :param text: its canonical text as published; made from the document if left
-            out.
+        :param text: its canonical text as published; None to encode the document.
         """
         if document.deployment != self._deployment:
             return Offer.FOREIGN
@@ -89,17 +88,17 @@
         with self._lock:
             current = self._current
             if current is not None and document.version <= current.version:
-                return _not_newer(document, digest, current)
+                return _rejection(document, digest, current)
             self._texts[digest] = text
             while len(self._texts) > KEPT_TEXTS:
                 self._texts.popitem(last=False)
             self._current = _in_force(document, digest)
-        for taken in self._taken:
-            taken()
+        for listener in self._listeners:
+            listener()
         return Offer.TAKEN
 
 
-def _not_newer(document: Document, digest: str, current: DocumentInForce) -> Offer:
+def _rejection(document: Document, digest: str, current: DocumentInForce) -> Offer:
     if document.version < current.version:
         return Offer.OLDER
     return Offer.SAME if digest == current.digest else Offer.CONFLICT
--- a/boragestream/policy/first_knowledge.py
+++ b/boragestream/policy/first_knowledge.py
@@ -1,12 +1,12 @@
-"""What an entry that has just started does with requests while it knows nothing yet.
-
-Load pattern: all entries were lost, and callers that have waited meanwhile come the
-moment an entry listens. Two things would refuse them needlessly. The first answers of
-the platform take some milliseconds: a request is held for that long. And while the
-platform is out of reach the next entry knows no more than this one: a caller that is
-told to come back at once has lost its next try too. On days with all entries lost while
-the store is down for two to four seconds more, callers that were told to come back
-after 2 s in place of 0.05 s had a tenth more worth of the whole day.
+"""Handling of requests by an entry that has just started and has no published values.
+
+Load pattern: all entries were lost, and the waiting callers connect as soon as an entry
+listens. Two conditions would cause needless refusals. The first answers of the platform
+take some milliseconds, so a request is held for that time. While the platform is
+unreachable, the next entry has no values either, so a caller told to retry at once
+fails again. On days on which all entries were lost and the store stayed down for two to
+four seconds longer, a retry delay of 2 s instead of 0.05 s raised the value that these
+callers obtained over the whole day by a tenth.
 """
 
 import threading
@@ -15,31 +15,31 @@
 
 __all__ = ["FirstKnowledge"]
 
-# The platform answers within some 5 ms, a request waits for the slowest of its answers;
-# a longer wait would be a noticeable part of the shortest objectives, 0.3 s.
+# The platform answers within about 5 ms, and a request waits for the slowest answer. A
+# longer wait would take a considerable share of the shortest latency objective, 0.3 s.
 HOLD_SECONDS = 0.1
-# An outage that has lasted for some time lasts about as long again, and never is it
-# expected to end sooner than this.
-LEAST_RETURN_SECONDS = 2.0
-MOST_RETURN_SECONDS = 5.0
+# Limits of the retry delay. The remaining time of an outage is estimated as its
+# duration so far, but as no less than the first value.
+MIN_RETRY_SECONDS = 2.0
+MAX_RETRY_SECONDS = 5.0
 
 
 class FirstKnowledge:
-    """Whether the first answers of the platform are still awaited; any thread may ask.
+    """Tracks whether the first answers of the platform are pending; thread-safe.
 
-    :param clock: tells for how long nothing is known.
-    :param awaited: names of what must be known before requests can be served.
+    :param clock: measures the time since the start.
+    :param awaited: the names of the values required before requests can be served.
     """
 
     def __init__(self, clock: Clock, awaited: tuple[str, ...]) -> None:
         self._clock = clock
-        self._began = clock.now()
+        self._started_at = clock.now()
         self._awaited = set(awaited)
         self._settled = threading.Event()
         self._lock = threading.Lock()
 
     def note_known(self, name: str) -> None:
-        """Take that something is known now."""
+        """Record that a required value is known."""
         if self._settled.is_set():
             return
         with self._lock:
@@ -48,14 +48,14 @@
                 self._settled.set()
 
     def note_unreachable(self) -> None:
-        """Take that the platform gave no answer: waiting longer is no use."""
+        """Record that the platform gave no answer, and stop holding requests."""
         self._settled.set()
 
     def hold(self) -> None:
-        """Wait for the first answers, for a moment at the most."""
+        """Wait for the first answers, for at most ``HOLD_SECONDS``."""
         self._settled.wait(HOLD_SECONDS)
 
     def return_seconds(self) -> float:
-        """Return when a caller shall come back for which nothing is known here."""
-        away = self._clock.now() - self._began
-        return min(MOST_RETURN_SECONDS, max(LEAST_RETURN_SECONDS, away))
+        """Return the retry delay in seconds of a request that can't be served yet."""
+        elapsed = self._clock.now() - self._started_at
+        return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, elapsed))
--- a/boragestream/policy/gossip.py
+++ b/boragestream/policy/gossip.py
@@ -1,8 +1,8 @@
-"""A table of records that spreads by gossip: news for a while, then digests.
+"""A table of records replicated by gossip, with digests for anti-entropy.
 
-A record that is new is offered a bounded number of times. What that misses is found
-by comparing digests of buckets, so that two tables which agree exchange a few bytes.
-Which record prevails is told by the user; what the records mean does not matter here.
+A new record is sent a bounded number of times. Tables that missed it detect this by
+comparing digests of buckets, so two equal tables exchange only a few bytes. The table's
+user supplies the rule that decides which of two records prevails.
 """
 
 import math
@@ -16,9 +16,9 @@
 __all__ = ["BUCKETS", "GossipTable"]
 
 BUCKETS = 16
-# Each entry offers news about this many times the logarithm of the table's size,
-# which reaches all but a vanishing share of the entries.
-SENDS_FACTOR = 3
+# Each entry sends a new record about this many times the binary logarithm of the
+# table's size, which reaches all but a negligible share of the entries.
+SENDS_PER_LOG_SIZE = 3
 
 Record = TypeVar("Record")
 
@@ -27,7 +27,7 @@
     """Records by key.
 
     :param key_of: returns a record's key.
-    :param prevails: returns the one of two records of the same key that prevails.
+    :param prevails: returns which of two records with the same key prevails.
     """
 
     def __init__(
@@ -50,17 +50,17 @@
 
     @property
     def digests(self) -> tuple[int, ...]:
-        """One 32-bit digest for each bucket; equal tables have equal ones."""
+        """The 32-bit digest of each bucket; equal tables have equal digests."""
         return tuple(self._digests)
 
     def get(self, key: str) -> Record | None:
-        """Return one record."""
+        """Return a record; None if the table lacks it."""
         return self._records.get(key)
 
     def take(self, record: Record, spread: bool = True) -> bool:
-        """Merge a record; True where it changed the table.
+        """Merge a record; return whether it changed the table.
 
-        :param spread: whether to offer it on as news.
+        :param spread: whether to send it on to other entries.
         """
         key = self._key_of(record)
         with self._lock:
@@ -69,12 +69,12 @@
                 return False
             self._replace(key, known, record)
             if spread:
-                sends = SENDS_FACTOR * math.log2(len(self._records) + 1)
+                sends = SENDS_PER_LOG_SIZE * math.log2(len(self._records) + 1)
                 self._sends_left[key] = math.ceil(sends)
             return True
 
     def drop(self, keys: Iterable[str]) -> None:
-        """Forget records."""
+        """Remove records."""
         with self._lock:
             for key in keys:
                 known = self._records.pop(key, None)
@@ -83,9 +83,9 @@
                     self._digests[_bucket(key)] ^= _digest(known)
 
     def news(self, count: int) -> list[Record]:
-        """Return the news that was offered least often, and count the offer.
+        """Return the new records with the most sends left, and count this send.
 
-        :param count: the most records.
+        :param count: the maximum number of records.
         """
         with self._lock:
             keys = sorted(self._sends_left, key=self._sends_left.get, reverse=True)
@@ -96,12 +96,12 @@
             return [self._records[key] for key in keys[:count]]
 
     def in_buckets(self, buckets: Collection[int]) -> list[Record]:
-        """Return every record of some buckets."""
+        """Return all records of some buckets."""
         with self._lock:
             return [r for k, r in self._records.items() if _bucket(k) in buckets]
 
     def differing(self, digests: Collection[int]) -> list[int]:
-        """Return the buckets in which another table differs from this one."""
+        """Return the buckets whose digests differ from another table's."""
         pairs = zip(self._digests, digests, strict=False)
         return [i for i, (mine, theirs) in enumerate(pairs) if mine != theirs]
 
--- a/boragestream/policy/membership.py
+++ b/boragestream/policy/membership.py
@@ -1,27 +1,35 @@
-"""What is known of the other entries, and how two opinions become one.
+"""Membership records of entries and the rules for merging them.
 
-Each entry has one record, which only rises in a total order, so that merging is
-commutative, associative and idempotent whatever comes late, twice or out of order.
+Each entry has one record, which only rises in a total order. Merging is therefore
+commutative, associative and idempotent, also for late, repeated or reordered messages.
 
-* Only the entry itself says that it is leaving or gone; within one incarnation that is
-  final. Silence makes a suspect and never more, since behind a partition an entry may
-  be serving its callers; a suspect that hears of it raises its counter.
-* An incarnation is random, so that it does not tell which of two came later. A running
-  entry that hears of another incarnation under its own name knows that it is the later
-  one, and raises its generation above it.
+* Only the entry itself reports that it is leaving or gone, which is final within an
+  incarnation. An entry that does not answer becomes at most a suspect, since it may be
+  serving its callers behind a partition. An entry that learns that it is suspected
+  raises its counter.
+* Incarnations are random and don't show which of two is later. A running entry that
+  receives a record of another incarnation under its own name is the later one, and
+  raises its generation above that record's.
 
-The tables that hold the records are left to ``policy.peers``.
+``policy.peers`` holds the tables of records.
 """
 
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, replace
 from enum import IntEnum
 
-__all__ = ["Member", "MemberState", "answer_to", "later", "merge", "suspected"]
+__all__ = [
+    "Member",
+    "MemberState",
+    "as_suspect",
+    "merge",
+    "prevailing_record",
+    "updated_own_record",
+]
 
 
 class MemberState(IntEnum):
-    """What is believed of an entry; a higher one outranks a lower one."""
+    """The believed state of an entry; a higher state outranks a lower one."""
 
     LIVE = 0
     SUSPECT = 1
@@ -34,9 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """What is believed of one entry.
+    """The membership record of one entry.
 
-    :ivar generation: which of the incarnations under this name is the latest.
+    :ivar generation: orders the incarnations under this name; the highest is the
+        latest.
     :ivar counter: raised by the entry itself to refute a suspicion.
     """
 
@@ -48,45 +57,54 @@
 
     @property
     def rank(self) -> tuple[int, str, int, int, int]:
-        """The place in the total order of one entry's records."""
-        final = self.state if self.state in FINAL_STATES else MemberState.LIVE
-        return (self.generation, self.incarnation, final, self.counter, self.state)
+        """The sort key in the total order of an entry's records."""
+        final_state = self.state if self.state in FINAL_STATES else MemberState.LIVE
+        return (
+            self.generation,
+            self.incarnation,
+            final_state,
+            self.counter,
+            self.state,
+        )
 
 
-def later(one: Member, other: Member) -> Member:
-    """Return the one of two records of the same entry that prevails."""
-    return one if one.rank >= other.rank else other
+def prevailing_record(first: Member, second: Member) -> Member:
+    """Return which of two records of the same entry prevails."""
+    return first if first.rank >= second.rank else second
 
 
 def merge(
     mine: Mapping[str, Member], theirs: Mapping[str, Member]
 ) -> dict[str, Member]:
-    """Return the records that prevail, by name."""
+    """Return the prevailing records of two tables by name."""
     merged = dict(mine)
     for name, member in theirs.items():
         known = merged.get(name)
-        merged[name] = member if known is None else later(known, member)
+        merged[name] = member if known is None else prevailing_record(known, member)
     return merged
 
 
-def suspected(member: Member) -> Member:
-    """Return the record of an entry that does not answer."""
+def as_suspect(member: Member) -> Member:
+    """Return the record of an entry after it did not answer."""
     if member.state is not MemberState.LIVE:
         return member
     return replace(member, state=MemberState.SUSPECT)
 
 
-def answer_to(own: Member, received: Member, outranked: Collection[str]) -> Member:
-    """Return an entry's own record after it received what is believed of it.
+def updated_own_record(
+    own: Member, received: Member, outranked: Collection[str]
+) -> Member:
+    """Return an entry's own record after it received a record under its name.
 
-    A leaving entry cannot tell a predecessor from a successor that runs already. It
-    rises above either once; a successor rises again, a predecessor does not.
+    A leaving entry can't distinguish a predecessor from a successor that is already
+    running. It raises its generation above either incarnation once. A running successor
+    then raises its own again; a predecessor does not.
 
-    :param own: its record so far.
-    :param received: a record under its name.
-    :param outranked: the incarnations above which it has already risen.
+    :param own: the entry's current record.
+    :param received: the received record.
+    :param outranked: the incarnations above which it has already raised its generation.
     """
-    if later(own, received) == own:
+    if prevailing_record(own, received) == own:
         return own
     if received.incarnation == own.incarnation:
         return replace(own, counter=received.counter + 1)
--- a/boragestream/policy/operator_table.py
+++ b/boragestream/policy/operator_table.py
@@ -1,16 +1,15 @@
-"""What operators publish: the configuration, and which data centres are drained.
-
-Both are followed by one watch, which costs no more calls than the configuration alone.
-Between entries they travel apart: the configuration as a difference with
-``entry.relay``, the drained data centres with each message of
-``entry.published_relay``. So each has a position of its own up to which it is known,
-and the platform is asked from the lower one on.
-
-Load patterns: a data centre is drained, and taken back, while the platform turns most
-entries away; the history is gone; the message of one entry overtakes that of another;
-an order is given, or taken back, right before the store comes back from a copy. Reading
-the keys is left to ``platform``, what follows from an order to ``policy.servers`` and
-``policy.cold_servers``.
+"""Values published by operators: the configuration and the drained data centres.
+
+One watch covers both, which costs no more calls than the configuration alone. Entries
+relay them separately: ``entry.relay`` sends the configuration as a difference, and each
+message of ``entry.published_relay`` carries the drained data centres. Each of the two
+therefore has its own known position, and the platform is read from the lower one.
+
+Load patterns: an operator drains a data centre, and withdraws the order, while the
+platform refuses most entries; the store has dropped its history; the message of one
+entry overtakes that of another; an order is published or withdrawn right before a
+restore of the store from a copy. ``platform`` reads the keys; ``policy.servers`` and
+``policy.cold_servers`` carry out the orders.
 """
 
 import threading
@@ -31,17 +30,18 @@
 
 __all__ = ["ORDER", "OperatorTable"]
 
-# The key alone is the order to drain, whatever its value.
+# The value kept for each drain key. The presence of the key is the order, whatever its
+# value.
 ORDER = b""
 
 
 class OperatorTable:
-    """The operators' values by key; any thread may use it.
+    """The operators' values by key; thread-safe.
 
-    No outage makes an operator's value lapse, so that what is removed is gone at once.
+    Operators' values don't lapse in an outage, so a removal takes effect at once.
 
     :param now: returns the clock's seconds.
-    :param drained_prefix: begins the key of each drained data centre.
+    :param drained_prefix: the prefix of the keys of drained data centres.
     """
 
     def __init__(self, now: Callable[[], float], drained_prefix: str) -> None:
@@ -57,9 +57,13 @@
 
     @property
     def position(self) -> Position | None:
-        """The position up to which all is known; None before the first answer."""
-        one, other = self._configuration.position, self._drained.position
-        return None if one is None or other is None else min(one, other)
+        """The position up to which both are known; None before the first answer."""
+        configuration, drained = self._configuration.position, self._drained.position
+        return (
+            None
+            if configuration is None or drained is None
+            else min(configuration, drained)
+        )
 
     @property
     def revision(self) -> int | None:
@@ -79,51 +83,51 @@
 
     @property
     def unsettled(self) -> bool:
-        """Whether removals may be lapses in an outage: never."""
+        """Always False, since operators' values don't lapse in an outage."""
         return False
 
     @property
     def held(self) -> tuple[Held, ...]:
-        """What is used against what a returned store says."""
+        """The values that override those of a restored store."""
         return (*self._configuration.held, *self._drained.held)
 
     def drained(self) -> tuple[int | None, tuple[str, ...]]:
-        """Return the keys of the drained data centres, and their revision."""
+        """Return the revision and the keys of the drained data centres."""
         with self._lock:
             return self._drained.revision, tuple(sorted(self._drained.values))
 
     def drained_centres(self) -> Relayed | None:
-        """Return what is known of the drained data centres; None before an answer."""
+        """Return the drained data centres to relay; None before the first answer."""
         with self._lock:
             return self._drained.since(None)
 
     def standing(
         self, answer: Snapshot | Changes, asked: Position | None = None
     ) -> Standing:
-        """Return what an answer of the platform is to this table.
+        """Return whether this table can apply an answer of the platform.
 
-        :param asked: the position from which changes were asked for; None for the one
-            that is known now.
+        :param asked: the position from which changes were requested; None for the
+            position that is known now.
         """
         tables = (self._configuration, self._drained)
-        both = {table.standing(answer, asked) for table in tables}
-        if Standing.UNCONNECTED in both:
+        statuses = {table.standing(answer, asked) for table in tables}
+        if Standing.UNCONNECTED in statuses:
             return Standing.UNCONNECTED
-        return Standing.USABLE if Standing.USABLE in both else Standing.OUTDATED
+        return Standing.USABLE if Standing.USABLE in statuses else Standing.OUTDATED
 
     def note_failure(self) -> None:
-        """Take that the platform gave no answer."""
+        """Do nothing, since operators' values don't lapse in an outage."""
 
     def take(self, answer: Snapshot | Changes) -> bool:
-        """Take an answer of the platform; True where it changed a value."""
+        """Apply an answer of the platform; return whether it changed a value."""
         with self._lock:
-            changed = self._configuration.take(self._part(answer, drained=False))
-            return self._drained.take(self._part(answer, drained=True)) or changed
+            changed = self._configuration.take(self._select(answer, drained=False))
+            return self._drained.take(self._select(answer, drained=True)) or changed
 
     def take_relayed(self, relayed: Relayed) -> bool:
-        """Take what another entry passes on of the drained data centres, all of them.
+        """Apply the complete set of drained data centres relayed by another entry.
 
-        :returns: True where it changed anything, or nothing was known before.
+        :returns: whether the set changed or was unknown before.
         """
         with self._lock:
             first = self._drained.revision is None
@@ -132,31 +136,40 @@
             return first or self._drained.values.keys() != before
 
     def take_revision(self, revision: int, era: int = NO_ERA) -> None:
-        """Take that the configuration has not changed up to a revision."""
-        self._configuration.take_position(Position(era, revision))
+        """Record that the configuration has not changed up to a revision."""
+        self._configuration.advance_position(Position(era, revision))
 
     def drop_lapsed(self) -> bool:
-        """Believe the store again where the time is over; True where any was."""
+        """Use the stored values again where retention has ended.
+
+        :returns: whether retention had ended for any key.
+        """
         with self._lock:
             ended = self._configuration.drop_lapsed()
             return self._drained.drop_lapsed() or ended
 
-    def _part(self, answer: Snapshot | Changes, drained: bool) -> Snapshot | Changes:
+    def _select(self, answer: Snapshot | Changes, drained: bool) -> Snapshot | Changes:
         if isinstance(answer, Snapshot):
-            kept = {
+            selected_values = {
                 key: ORDER if drained else value
                 for key, value in answer.values.items()
-                if self._is(key) is drained
+                if self._is_drain_key(key) is drained
             }
-            return Snapshot(answer.revision, kept, answer.era, answer.written)
-        changes = self._changes(answer.changes, drained)
+            return Snapshot(
+                answer.revision, selected_values, answer.era, answer.written
+            )
+        changes = self._select_changes(answer.changes, drained)
         return Changes(answer.revision, changes, answer.era)
 
-    def _changes(self, changes: Iterable[Change], drained: bool) -> tuple[Change, ...]:
-        part = (c for c in changes if self._is(c.key) is drained)
+    def _select_changes(
+        self, changes: Iterable[Change], drained: bool
+    ) -> tuple[Change, ...]:
+        selected = (c for c in changes if self._is_drain_key(c.key) is drained)
         if not drained:
-            return tuple(part)
-        return tuple(c if c.value is None else replace(c, value=ORDER) for c in part)
+            return tuple(selected)
+        return tuple(
+            c if c.value is None else replace(c, value=ORDER) for c in selected
+        )
 
-    def _is(self, key: str) -> bool:
+    def _is_drain_key(self, key: str) -> bool:
         return key.startswith(self._prefix)
--- a/boragestream/policy/peers.py
+++ b/boragestream/policy/peers.py
@@ -1,8 +1,9 @@
-"""The entries and leaving backend servers that one entry knows.
+"""The table of entries known to one entry.
 
-The published list says who exists and where; the exchange says how they are. Records
-of names that no list has named for a while are forgotten and not taken again, so that
-they do not travel for ever. Asking peers is left to the ``entry`` package.
+The published list contains the existing entries and their addresses; the exchange
+between entries supplies their states. Records of names that have been missing from the
+list for some time are removed and not accepted again, so that they don't circulate
+forever. The ``entry`` package communicates with the peers.
 """
 
 import threading
@@ -15,30 +16,30 @@
 from boragestream.policy.membership import (
     Member,
     MemberState,
-    answer_to,
-    later,
-    suspected,
+    as_suspect,
+    prevailing_record,
+    updated_own_record,
 )
 
 __all__ = ["FORGET_SECONDS", "EntryTable", "ListedEntry"]
 
-# A list that omits an entry by mistake costs nothing within this time.
+# An entry that the list omits by mistake is kept for this time.
 FORGET_SECONDS = 120.0
-MISSES_BEFORE_CONFIRMING = 2
-# Others that were lost in the same moment are found out within this time.
-LOST_SECONDS = 5.0
-# More than anybody asks about.
-LOST_KEPT = 16
+FAILURES_BEFORE_CONFIRMING = 2
+# Entries lost at the same moment all become suspects within this time.
+RECENT_LOSS_SECONDS = 5.0
+# Exceeds the highest count that any caller of ``EntryTable.lost_lately`` compares with.
+MAX_RECENT_LOSSES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEntry:
-    """An entry as the published list names it.
+    """An entry in the published list.
 
-    :ivar host: ``address:port`` towards callers.
-    :ivar peer_address: ``address:port`` towards other entries.
-    :ivar leaving: whether the list says that it is leaving.
-    :ivar capacity: what it can do for others; a core with a fast link has 1.
+    :ivar host: the ``address:port`` for callers.
+    :ivar peer_address: the ``address:port`` for other entries.
+    :ivar leaving: whether the list marks it as leaving.
+    :ivar capacity: its capacity to serve other entries; a core with a fast link has 1.
     """
 
     name: str
@@ -50,12 +51,12 @@
 
 
 class EntryTable:
-    """What one entry believes of all entries, itself included.
+    """One entry's view of the states of all entries, including itself.
 
-    :param name: its own name.
-    :param incarnation: its own incarnation.
-    :param clock: tells when a name was last listed.
-    :param changed: called after each change that others should hear at once.
+    :param name: this entry's name.
+    :param incarnation: this entry's incarnation.
+    :param clock: gives the time at which a name was last listed.
+    :param changed: called after each change that should be sent to others at once.
     """
 
     def __init__(
@@ -69,17 +70,19 @@
         self._clock = clock
         self._changed = changed
         self._own = Member(name, incarnation)
-        self._members = GossipTable[Member](lambda member: member.name, later)
+        self._members = GossipTable[Member](
+            lambda member: member.name, prevailing_record
+        )
         self._members.take(self._own)
         self._listed: dict[str, ListedEntry] = {}
         self._listed_at: dict[str, float] = {}
-        # The incarnation that was known when the list first said "leaving": the
-        # list's word is not about a successor under the same name.
-        self._left: dict[str, str] = {}
-        self._outranked: set[str] = set()
-        self._misses: dict[str, int] = {}
-        # When entries became suspects here.
-        self._lost_at: deque[float] = deque(maxlen=LOST_KEPT)
+        # The incarnation known when the list first marked the entry as leaving. The
+        # mark does not apply to a successor under the same name.
+        self._leaving_incarnations: dict[str, str] = {}
+        self._outranked_incarnations: set[str] = set()
+        self._failed_exchanges: dict[str, int] = {}
+        # The times at which entries became suspects here.
+        self._suspected_at: deque[float] = deque(maxlen=MAX_RECENT_LOSSES)
         self._lock = threading.RLock()
 
     @property
@@ -89,16 +92,19 @@
 
     @property
     def table(self) -> GossipTable[Member]:
-        """The records, to be exchanged."""
+        """The table of records, for the exchange with other entries."""
         return self._members
 
     @property
     def listed(self) -> tuple[ListedEntry, ...]:
-        """Every entry of the list and of the lists of the last while."""
+        """All entries of the latest list and of the lists of ``FORGET_SECONDS``."""
         return tuple(self._listed.values())
 
     def take_list(self, listed: Iterable[ListedEntry]) -> None:
-        """Take a published list; of entries that stand twice, "leaving" prevails."""
+        """Apply a published list.
+
+        An entry listed twice is leaving if either item says so.
+        """
         now = self._clock.now()
         with self._lock:
             current: dict[str, ListedEntry] = {}
@@ -109,65 +115,74 @@
             for name, entry in current.items():
                 self._listed[name] = entry
                 self._listed_at[name] = now
-                self._note_listed_state(entry)
-            self._forget(now)
+                self._record_leaving_mark(entry)
+            self._remove_unlisted(now)
 
     def take(self, member: Member) -> None:
-        """Merge a record that another entry offered."""
+        """Merge a record received from another entry."""
         with self._lock:
             if member.name == self._name:
-                self._answer(member)
+                self._update_own_record(member)
                 return
             known = self._members.get(member.name)
             if member.name not in self._listed or not self._members.take(member):
                 return
-            # That an entry is there can wait for the next round; that it is not, or
-            # is again, cannot.
+            # A new live entry can wait for the next exchange. The loss or recovery of
+            # an entry is sent at once.
             if member.state is MemberState.SUSPECT:
-                self._lost_at.append(self._clock.now())
+                self._suspected_at.append(self._clock.now())
             if known is not None or member.state is not MemberState.LIVE:
                 self._changed()
 
     def note_reached(self, name: str) -> None:
-        """Take that an entry answered or asked; a suspicion is its own to refute."""
-        self._misses.pop(name, None)
+        """Record a message from an entry.
+
+        A suspicion remains until the entry itself refutes it.
+        """
+        self._failed_exchanges.pop(name, None)
 
     def note_missed(self, name: str) -> bool:
-        """Take that an entry did not answer; True where others should try too."""
+        """Record that an entry did not answer.
+
+        :returns: whether other entries should try to reach it too.
+        """
         with self._lock:
-            self._misses[name] = self._misses.get(name, 0) + 1
+            self._failed_exchanges[name] = self._failed_exchanges.get(name, 0) + 1
             live = self.state(name) is MemberState.LIVE
-            return live and self._misses[name] >= MISSES_BEFORE_CONFIRMING
+            return live and self._failed_exchanges[name] >= FAILURES_BEFORE_CONFIRMING
 
     def note_unreached(self, name: str) -> None:
-        """Take that neither this entry nor another one got an answer."""
+        """Record that neither this entry nor another one could reach an entry."""
         with self._lock:
-            # An entry that was never heard is suspected under an incarnation that
-            # every real one outranks.
+            # An entry that never sent a record is suspected under a placeholder
+            # incarnation that every real one outranks.
             known = self._members.get(name) or Member(name, "", generation=0)
-            if name in self._listed and self._members.take(suspected(known)):
-                self._lost_at.append(self._clock.now())
+            if name in self._listed and self._members.take(as_suspect(known)):
+                self._suspected_at.append(self._clock.now())
                 self._changed()
 
     def lost_lately(self) -> int:
-        """Return how many entries became suspects in the last seconds."""
-        since = self._clock.now() - LOST_SECONDS
+        """Return the number of entries suspected within ``RECENT_LOSS_SECONDS``.
+
+        The count is at most ``MAX_RECENT_LOSSES``.
+        """
+        since = self._clock.now() - RECENT_LOSS_SECONDS
         with self._lock:
-            return sum(at > since for at in self._lost_at)
+            return sum(at > since for at in self._suspected_at)
 
     def missed(self, name: str) -> bool:
         """Return whether the last exchange with an entry failed."""
-        return name in self._misses
+        return name in self._failed_exchanges
 
     def say(self, state: MemberState) -> None:
-        """Say of this entry itself that it is leaving or gone."""
+        """Announce that this entry is leaving or gone."""
         with self._lock:
             self._own = replace(self._own, state=state)
             self._members.take(self._own)
         self._changed()
 
     def state(self, name: str) -> MemberState:
-        """Return what is believed of an entry, the list's word included."""
+        """Return the believed state of an entry, combined with its mark in the list."""
         if name == self._name:
             return self._own.state
         member = self._members.get(name)
@@ -176,38 +191,40 @@
         if listed is None or not listed.leaving:
             return state
         incarnation = "" if member is None else member.incarnation
-        succeeded = self._left.get(name, "") not in ("", incarnation)
+        succeeded = self._leaving_incarnations.get(name, "") not in ("", incarnation)
         return state if succeeded else max(state, MemberState.LEAVING)
 
     def usable(self) -> tuple[ListedEntry, ...]:
-        """Return the entries that callers should use now."""
+        """Return the entries that callers should use."""
         return self.in_states((MemberState.LIVE,))
 
     def in_states(self, states: Collection[MemberState]) -> tuple[ListedEntry, ...]:
-        """Return the listed entries that are in one of some states."""
+        """Return the listed entries whose state is one of those given."""
         return tuple(e for e in self.listed if self.state(e.name) in states)
 
-    def _answer(self, received: Member) -> None:
-        answer = answer_to(self._own, received, self._outranked)
+    def _update_own_record(self, received: Member) -> None:
+        updated = updated_own_record(self._own, received, self._outranked_incarnations)
         self._members.take(received, spread=False)
-        if answer != self._own:
-            self._outranked.add(received.incarnation)
-            self._own = answer
-            self._members.take(answer)
+        if updated != self._own:
+            self._outranked_incarnations.add(received.incarnation)
+            self._own = updated
+            self._members.take(updated)
             self._changed()
 
-    def _note_listed_state(self, entry: ListedEntry) -> None:
+    def _record_leaving_mark(self, entry: ListedEntry) -> None:
         if not entry.leaving:
-            self._left.pop(entry.name, None)
+            self._leaving_incarnations.pop(entry.name, None)
             return
         member = self._members.get(entry.name)
-        self._left.setdefault(entry.name, "" if member is None else member.incarnation)
+        self._leaving_incarnations.setdefault(
+            entry.name, "" if member is None else member.incarnation
+        )
 
-    def _forget(self, now: float) -> None:
-        old = [n for n, at in self._listed_at.items() if now - at > FORGET_SECONDS]
-        for name in old:
+    def _remove_unlisted(self, now: float) -> None:
+        expired = [n for n, at in self._listed_at.items() if now - at > FORGET_SECONDS]
+        for name in expired:
             self._listed.pop(name)
             self._listed_at.pop(name)
-            self._left.pop(name, None)
-            self._misses.pop(name, None)
-        self._members.drop(name for name in old if name != self._name)
+            self._leaving_incarnations.pop(name, None)
+            self._failed_exchanges.pop(name, None)
+        self._members.drop(name for name in expired if name != self._name)
--- a/boragestream/policy/publication.py
+++ b/boragestream/policy/publication.py
@@ -1,7 +1,7 @@
-"""What the platform's store answers, and what entries pass on to one another of it.
+"""Answers of the platform's store and the messages in which entries relay them.
 
-Which values follow from it is left to ``policy.published_table``, reading the store to
-``platform``.
+``policy.published_table`` derives the current values from them; ``platform`` reads the
+store.
 """
 
 from dataclasses import dataclass, field
@@ -23,18 +23,18 @@
 ]
 
 
-# Of an answer that names no era, and of messages of an earlier release.
+# The era of answers that name none and of messages from an earlier release.
 NO_ERA = -1
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Position:
-    """Where an answer stands among all that the store has ever answered.
+    """The place of an answer in the total order of the store's answers.
 
-    :ivar era: rises each time that the store comes back from a copy, which can lack its
-        last changes; ``NO_ERA`` where the store names none.
-    :ivar revision: rises with each change of an era. After a return it goes on from the
-        copy's, so that the same revisions are given out again.
+    :ivar era: rises each time the store is restored from a copy, which can lack its
+        last changes; ``NO_ERA`` if the store names none.
+    :ivar revision: rises with each change within an era. After a restore it continues
+        from the copy's revision, so the store issues the same revisions again.
     """
 
     era: int
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One key that changed; the value is None where it was removed.
+    """A change of one key; the value is None if the key was removed.
 
-    :ivar revision: of the write, or of the removal.
+    :ivar revision: the revision of the write or removal.
     """
 
     key: str
@@ -55,9 +55,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What changed, and the revision from which to go on.
+    """The changes in an answer and the revision from which the next watch continues.
 
-    :ivar era: of the answer; ``NO_ERA`` where the store names none.
+    :ivar era: the answer's era; ``NO_ERA`` if the store names none.
     """
 
     revision: int
@@ -69,9 +69,9 @@
 class Snapshot:
     """All values under a prefix by key, at least as new as the revision.
 
-    :ivar era: of the answer; ``NO_ERA`` where the store names none.
-    :ivar written: by key the revision of its last write; that of the snapshot for keys
-        that are missing here.
+    :ivar era: the answer's era; ``NO_ERA`` if the store names none.
+    :ivar written: the revision of each key's last write. A key missing here has the
+        revision of the snapshot.
     """
 
     revision: int
@@ -92,8 +92,8 @@
 class Write:
     """The last write of a key.
 
-    :ivar revision: tells writes of one key apart, also across a return of the store,
-        as a copy keeps the revisions of what it holds.
+    :ivar revision: distinguishes the writes of one key, also across a restore of the
+        store, because a copy keeps the revisions of its keys.
     """
 
     revision: int
@@ -119,11 +119,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """What is used of a key against what a returned store says.
+    """The write used for a key instead of that of a restored store.
 
-    :ivar seconds: for how much longer.
-    :ivar used: the write that is used; None where the key counts as removed.
-    :ivar stored: the write that the store has; None for none.
+    :ivar seconds: the remaining time of use.
+    :ivar used: the write in use; None if the key counts as removed.
+    :ivar stored: the write in the store; None if the store lacks the key.
     """
 
     key: str
@@ -134,18 +134,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Relayed:
-    """What one entry passes on to another of the values under a prefix.
-
-    :ivar after: the revision from which the changes lead on; None where they are all
-        values.
-    :ivar revision: up to which they are complete.
-    :ivar lapsed: keys that lapsed in an outage, with the seconds for which they are
-        still kept.
-    :ivar era: of the revision; ``NO_ERA`` where the store, or an earlier release, names
-        none.
+    """The values under a prefix, or changes of them, as one entry relays them.
+
+    :ivar after: the revision from which the changes start; None if ``changes`` holds
+        all values.
+    :ivar revision: the revision up to which the changes are complete.
+    :ivar lapsed: the keys that lapsed in an outage, with the seconds for which their
+        values are still kept.
+    :ivar era: the era of ``revision``; ``NO_ERA`` if the store, or an earlier release,
+        names none.
     :ivar after_era: the era of ``after``.
-    :ivar era_seconds: how long ago the era was first seen; None where that is unknown.
-    :ivar held: what is used against what the returned store says.
+    :ivar era_seconds: the time since any entry first saw the era; None if unknown.
+    :ivar held: the writes that override those of the restored store.
     """
 
     after: int | None
--- a/boragestream/policy/published_table.py
+++ b/boragestream/policy/published_table.py
@@ -1,11 +1,12 @@
-"""The values under one prefix of the platform's store, as far as they are known.
+"""The known values under one prefix of the platform's store.
 
-They come from the store and from other entries, in whatever order. What is used of them
-in place of what the store says is decided by ``policy.held_values``.
+They arrive from the store and from other entries, in any order. ``policy.held_values``
+decides which values are used instead of the stored ones.
 
-Load patterns: an outage in which all servers lapse; a return from a copy while servers
-leave and orders are given; two returns in a row; entries that were cut off meanwhile.
-Reading the store is left to ``platform``, choosing among the values to others.
+Load patterns: an outage in which all servers lapse; a restore of the store from a copy
+while servers leave and operators publish orders; two consecutive restores; entries that
+were cut off during a restore. ``platform`` reads the store; other modules choose among
+the values.
 """
 
 import threading
@@ -27,13 +28,13 @@
 
 __all__ = ["PublishedTable", "Standing"]
 
-# What lapsed during an outage shows in the first answers after it. A removal that comes
-# later is a new one, and its server gets no further work.
-SETTLE_SECONDS = 0.5
+# Keys that lapsed during an outage are missing from the first answers after it. A later
+# removal is a new one, and its server gets no further work.
+LAPSE_DETECTION_SECONDS = 0.5
 
 
 class Standing(Enum):
-    """What an answer of the store is to a table."""
+    """Whether a table can apply an answer of the store."""
 
     USABLE = "it can be taken"
     OUTDATED = "it is older than what is known"
@@ -41,14 +42,14 @@
 
 
 class PublishedTable:
-    """The values under one prefix: what is not newer than them changes nothing.
+    """The values under one prefix; thread-safe.
 
-    Any thread may use it.
+    Answers that are not newer than the known values change nothing.
 
     :param now: returns the clock's seconds.
-    :param kept_changes: how many changes are kept for other entries; an entry that is
-        further behind is given all values.
-    :param retention: how long values are used against a store that has returned.
+    :param kept_changes: the number of changes kept for other entries; an entry that is
+        further behind receives all values.
+    :param retention: how long values override those of a restored store.
     """
 
     def __init__(
@@ -58,20 +59,20 @@
         retention: Retention = SERVER_RETENTION,
     ) -> None:
         self._now = now
-        self._lapsed_seconds = retention.missing_seconds
+        self._lapse_retention_seconds = retention.missing_seconds
         self._stored: dict[str, Write] = {}
         self._held = HeldValues(now, retention, self._stored)
-        self._failing = False
-        self._outage_ended = float("-inf")
-        # The first answer under this prefix since then; None while there is none.
-        self._settled_at: float | None = float("-inf")
+        self._in_outage = False
+        self._outage_ended_at = float("-inf")
+        # The time of the first answer for this prefix since then; None before it.
+        self._first_answer_at: float | None = float("-inf")
         self._position: Position | None = None
-        # What was known last of the era before, and first of this one.
-        self._era_left: Position | None = None
-        self._era_entered = Position(NO_ERA, 0)
+        # The last known position of the previous era and the first of this one.
+        self._previous_era_end: Position | None = None
+        self._era_start = Position(NO_ERA, 0)
         # The latest changes, and the position from which they are complete.
         self._changes: deque[tuple[Position, Change]] = deque(maxlen=kept_changes)
-        self._changes_after = Position(NO_ERA, 0)
+        self._changes_start = Position(NO_ERA, 0)
         self._lock = threading.RLock()
 
     @property
@@ -82,7 +83,7 @@
 
     @property
     def position(self) -> Position | None:
-        """The position up to which the values are complete; None before the first."""
+        """The position up to which the values are complete; None without values."""
         return self._position
 
     @property
@@ -97,28 +98,28 @@
 
     @property
     def held(self) -> tuple[Held, ...]:
-        """What is used against what a returned store says."""
+        """The values that override those of a restored store."""
         with self._lock:
             return self._held.held
 
     @property
     def held_digest(self) -> int:
-        """What ``held`` says, but for the times; 0 for nothing."""
+        """A digest of ``held`` without its times; 0 if ``held`` is empty."""
         with self._lock:
             return self._held.digest
 
     @property
     def unsettled(self) -> bool:
-        """Whether an outage has ended, and nothing under this prefix was answered."""
-        return self._settled_at is None and not self._failing
+        """Whether an outage has ended without an answer for this prefix since."""
+        return self._first_answer_at is None and not self._in_outage
 
     def standing(
         self, answer: Snapshot | Changes, asked: Position | None = None
     ) -> Standing:
-        """Return what an answer of the store is to this table.
+        """Return whether this table can apply an answer of the store.
 
-        :param asked: the position from which changes were asked for; None for the one
-            that is known now.
+        :param asked: the position from which changes were requested; None for the
+            position that is known now.
         """
         known = self._position
         if known is None:
@@ -131,70 +132,70 @@
             return Standing.OUTDATED if outdated else Standing.USABLE
         if era > known.era:
             return Standing.UNCONNECTED
-        # A question of the era before can reach the store after its return.
+        # A request made in the previous era can reach the store after its restore.
         connected = asked is None or asked.era == era
         return Standing.USABLE if connected else Standing.OUTDATED
 
     def note_answer(self) -> None:
-        """Take that the store answered, also about another prefix."""
+        """Record that the store answered a request for this or another prefix."""
         with self._lock:
-            if self._failing:
-                self._outage_ended = self._now()
-                self._settled_at = None
-            self._failing = False
+            if self._in_outage:
+                self._outage_ended_at = self._now()
+                self._first_answer_at = None
+            self._in_outage = False
 
     def note_failure(self) -> None:
-        """Take that the store gave no answer, so that entries may lapse meanwhile."""
-        self._failing = True
+        """Record that the store gave no answer; keys may lapse during the outage."""
+        self._in_outage = True
 
     def take(self, answer: Snapshot | Changes) -> bool:
-        """Take an answer of the store; True where it changed the values.
+        """Apply an answer of the store; return whether it changed the values.
 
-        One that is not usable changes nothing.
+        An answer that is not usable changes nothing.
         """
         with self._lock:
             if self.standing(answer) is not Standing.USABLE:
                 return False
             known = self._position
             position = Position(self._era_of(answer), answer.revision)
-            until = self._lapsed_until()
+            until = self._lapse_retention_end()
             if isinstance(answer, Changes):
                 return self._apply(answer.changes, position, lambda key: until)
             writes = answer.writes
             if known is None or position.era > known.era:
-                return self._begin(writes, position, self._now())
-            changes = self._differences(writes, answer.revision)
+                return self._replace_all(writes, position, self._now())
+            changes = self._changes_to(writes, answer.revision)
             changed = self._apply(changes, position, lambda key: until)
-            # Some were written anew with the values of before.
+            # Some keys were rewritten with unchanged values.
             self._stored.update(writes)
             return changed
 
     def take_relayed(self, relayed: Relayed) -> bool:
-        """Take what another entry passes on; True where it changed the values."""
+        """Apply values relayed by another entry; return whether the values changed."""
         with self._lock:
             known = self._position
             position = Position(relayed.era, relayed.revision)
             if known is None or position > known:
-                taken = self._take_newer(relayed, position)
-                if taken is None:
+                applied = self._apply_newer_relayed(relayed, position)
+                if applied is None:
                     return False
             else:
-                taken = False
+                applied = False
             if position != self._position:
-                return taken
-            return self._held.adopt(relayed) or taken
+                return applied
+            return self._held.adopt(relayed) or applied
 
-    def take_position(self, position: Position) -> None:
-        """Take that nothing has changed up to a position, which another entry said."""
+    def advance_position(self, position: Position) -> None:
+        """Record another entry's statement that nothing changed up to a position."""
         with self._lock:
             if self._position is not None:
                 self._position = max(self._position, position)
 
     def since(self, revision: int | None, era: int | None = None) -> Relayed | None:
-        """Return what has changed since a revision; None where nothing is known here.
+        """Return the changes since a revision, or None if no values are known here.
 
         :param revision: None for all values.
-        :param era: the revision's era; None for the one that is known here.
+        :param era: the revision's era; None for the era that is known here.
         """
         with self._lock:
             position = self._position
@@ -204,7 +205,7 @@
             after = None
             if revision is not None:
                 after = Position(position.era if era is None else era, revision)
-            if after is None or not self._leads_on(after):
+            if after is None or not self._has_changes_since(after):
                 after = None
                 writes = {**self._stored, **{k: w for k, (w, _) in lapsed.items()}}
                 changes = [Change(k, w.revision, w.value) for k, w in writes.items()]
@@ -214,7 +215,7 @@
                 after=None if after is None else after.revision,
                 revision=position.revision,
                 changes=tuple(changes),
-                lapsed={key: left for key, (_, left) in lapsed.items()},
+                lapsed={key: seconds_left for key, (_, seconds_left) in lapsed.items()},
                 era=position.era,
                 after_era=NO_ERA if after is None else after.era,
                 era_seconds=self._held.era_seconds,
@@ -222,51 +223,57 @@
             )
 
     def drop_lapsed(self) -> bool:
-        """Believe the store again where the time is over; True where any was."""
+        """Use the stored values again where retention has ended.
+
+        :returns: whether retention had ended for any key.
+        """
         with self._lock:
-            return self._held.drop_ended()
+            return self._held.drop_expired()
 
     def _era_of(self, answer: Snapshot | Changes) -> int:
-        """Return the era of an answer; one that names none is of the era known."""
+        """Return an answer's era, or the known era if the answer names none."""
         return self.era if answer.era == NO_ERA else answer.era
 
-    def _lapsed_until(self) -> float | None:
-        """Return until when to keep what an answer that came now says is removed."""
+    def _lapse_retention_end(self) -> float | None:
+        """Return how long to keep a value that an answer received now removes.
+
+        :returns: the end in the clock's seconds; None to remove the value immediately.
+        """
         now = self._now()
-        if self._settled_at is None:
-            self._settled_at = now
-        until = self._outage_ended + self._lapsed_seconds
-        lapsed = now - self._settled_at < SETTLE_SECONDS and now < until
+        if self._first_answer_at is None:
+            self._first_answer_at = now
+        until = self._outage_ended_at + self._lapse_retention_seconds
+        lapsed = now - self._first_answer_at < LAPSE_DETECTION_SECONDS and now < until
         return until if lapsed else None
 
-    def _begin(
+    def _replace_all(
         self, stored: dict[str, Write], position: Position, era_began: float
     ) -> bool:
-        """Take all values that are stored, first ones or those of a later era.
+        """Replace all stored values by the first values or those of a later era.
 
-        :returns: whether any value that is used has changed.
+        :returns: whether any value in use has changed.
         """
         used, known = self._held.used, self._position
         before = self._held.values
-        differences = self._differences(stored, position.revision)
+        differences = self._changes_to(stored, position.revision)
         self._stored.clear()
         self._stored.update(stored)
         self._position = position
-        self._era_entered = position
+        self._era_start = position
         if known is None:
-            self._changes_after = position
+            self._changes_start = position
         else:
             for change in differences:
-                self._log(position, change)
-            self._era_left = known
+                self._record_change(position, change)
+            self._previous_era_end = known
             self._held.begin_era(used, era_began)
         return self._held.values != before
 
-    def _take_newer(self, relayed: Relayed, position: Position) -> bool | None:
-        """Take values or changes up to a later position.
+    def _apply_newer_relayed(self, relayed: Relayed, position: Position) -> bool | None:
+        """Apply relayed values or changes up to a later position.
 
-        :returns: whether they changed the values; None where changes are missing
-            between what is known and what they lead on from.
+        :returns: whether they changed the values; None if changes are missing between
+            the known position and the one from which the relayed changes start.
         """
         known = self._position
         changes: Iterable[Change] = relayed.changes
@@ -277,29 +284,31 @@
                 for c in changes
                 if c.value is not None and c.key not in relayed.lapsed
             }
-            changes = () if later_era else self._differences(stored, position.revision)
+            changes = () if later_era else self._changes_to(stored, position.revision)
         else:
             after = Position(relayed.after_era, relayed.after)
             if known is None or after > known:
                 return None
             if (later_era and after != known) or after.era < known.era:
                 return None
-            stored = self._changed(changes) if later_era else {}
+            stored = self._stored_after(changes) if later_era else {}
         now = self._now()
-        ends = {key: now + seconds for key, seconds in relayed.lapsed.items()}
+        retention_ends = {key: now + seconds for key, seconds in relayed.lapsed.items()}
         if later_era:
-            changed = self._begin(stored, position, now - (relayed.era_seconds or 0.0))
+            changed = self._replace_all(
+                stored, position, now - (relayed.era_seconds or 0.0)
+            )
         else:
-            changed = self._apply(changes, position, ends.get)
+            changed = self._apply(changes, position, retention_ends.get)
         if relayed.after is None:
             for change in relayed.changes:
-                if change.key in ends and change.value is not None:
+                if change.key in retention_ends and change.value is not None:
                     write = Write(change.revision, change.value)
-                    self._held.keep(change.key, write, ends[change.key])
-        return changed or bool(ends)
+                    self._held.keep(change.key, write, retention_ends[change.key])
+        return changed or bool(retention_ends)
 
-    def _changed(self, changes: Iterable[Change]) -> dict[str, Write]:
-        """Return what is stored after some changes."""
+    def _stored_after(self, changes: Iterable[Change]) -> dict[str, Write]:
+        """Return the stored values with some changes applied."""
         stored = dict(self._stored)
         for change in changes:
             stored.pop(change.key, None)
@@ -307,11 +316,11 @@
                 stored[change.key] = Write(change.revision, change.value)
         return stored
 
-    def _differences(self, stored: dict[str, Write], revision: int) -> list[Change]:
-        """Return what changes from what is stored now to other values."""
+    def _changes_to(self, stored: dict[str, Write], revision: int) -> list[Change]:
+        """Return the changes from the current stored values to others."""
         known = self._stored
-        gone = known.keys() - stored.keys()
-        removed = [Change(key, revision, None) for key in sorted(gone)]
+        missing = known.keys() - stored.keys()
+        removed = [Change(key, revision, None) for key in sorted(missing)]
         return removed + [
             Change(key, write.revision, write.value)
             for key, write in stored.items()
@@ -324,10 +333,11 @@
         position: Position,
         kept_until: Callable[[str], float | None],
     ) -> bool:
-        """Make changes that lead to a position of the same era.
+        """Apply changes up to a position of the same era.
 
-        :param kept_until: until when a removed value is kept, None for not at all.
-        :returns: whether any was new.
+        :param kept_until: returns until when a removed key's value is kept; None if it
+            is not kept.
+        :returns: whether any change was new.
         """
         known = self._position
         changed = False
@@ -342,24 +352,29 @@
             elif before is not None:
                 until = kept_until(change.key)
                 self._held.note_removed(change.key, before, until)
-            self._log(Position(position.era, change.revision), change)
+            self._record_change(Position(position.era, change.revision), change)
         self._position = position if known is None else max(known, position)
         return changed
 
-    def _log(self, position: Position, change: Change) -> None:
+    def _record_change(self, position: Position, change: Change) -> None:
         full = len(self._changes) == self._changes.maxlen
         if full and self._changes:
-            self._changes_after = self._changes[0][0]
+            self._changes_start = self._changes[0][0]
         elif full:
-            self._changes_after = position
+            self._changes_start = position
         self._changes.append((position, change))
 
-    def _leads_on(self, after: Position) -> bool:
-        """Tell whether the kept changes lead on from a position."""
-        if self._position is None or after < self._changes_after:
+    def _has_changes_since(self, after: Position) -> bool:
+        """Return whether the kept changes are complete from a position on."""
+        if self._position is None or after < self._changes_start:
             return False
         if after.era == self._position.era:
-            return after >= self._era_entered
-        # An entry that had more of an earlier era knows changes that are unknown here.
-        left = self._era_left
-        return left is not None and left.era == after.era and after <= left
+            return after >= self._era_start
+        # An entry beyond the last position known here of an earlier era knows changes
+        # that are unknown here.
+        previous_end = self._previous_era_end
+        return (
+            previous_end is not None
+            and previous_end.era == after.era
+            and after <= previous_end
+        )
--- a/boragestream/policy/reports.py
+++ b/boragestream/policy/reports.py
@@ -1,8 +1,8 @@
-"""What servers report of their own load, and how it ages.
+"""Load reports of servers and the decay of their content with age.
 
-Reports come with answers and are old by the time that they are used: what other
-entries had in progress is faded with the age. Reading a report off an answer is left
-to ``backend.load``.
+Reports arrive with answers and are out of date when they are used. The reported number
+of other entries' calls therefore decays with the report's age. ``backend.load`` parses
+the reports.
 """
 
 import math
@@ -10,15 +10,15 @@
 
 __all__ = ["LoadReport", "calls_of_others"]
 
-FADE_SECONDS = 1.0
+DECAY_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
     """A server's load at one moment.
 
-    :ivar in_progress: its calls, of all entries, waiting ones included.
-    :ivar slots: how many calls it runs at once.
+    :ivar in_progress: the number of its calls from all entries, including queued ones.
+    :ivar slots: the number of calls that it runs at once.
     """
 
     in_progress: int
@@ -26,10 +26,10 @@
 
 
 def calls_of_others(report: LoadReport, own: int, age: float) -> float:
-    """Return how many calls of other entries a server is expected to have.
+    """Return the expected number of calls of other entries on a server.
 
-    :param own: this entry's calls at the moment of the report.
+    :param own: the number of this entry's calls at the time of the report.
     :param age: the report's age in seconds.
     """
     others = max(0, report.in_progress - own)
-    return others * math.exp(-max(0.0, age) / FADE_SECONDS)
+    return others * math.exp(-max(0.0, age) / DECAY_SECONDS)
--- a/boragestream/policy/route_table.py
+++ b/boragestream/policy/route_table.py
@@ -1,7 +1,7 @@
-"""The routes in force: versions rise only, and one request uses one version throughout.
+"""The routes in force, whose version only increases.
 
-Reading a published text is left to ``platform``, telling other entries of it to
-``entry.relay``.
+A request uses the same version throughout. ``platform`` reads the published text;
+``entry.relay`` sends it to other entries.
 """
 
 import random
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """One version with its look-ups.
+    """A version of the routes with its lookup tables.
 
-    :ivar digest: of the published text.
-    :ivar routes: by host, the longest prefix first.
-    :ivar accounts: by the digest of each key.
-    :ivar least_priority: of the most urgent client accounts.
+    :ivar digest: the digest of the published text.
+    :ivar routes: the routes by host, the longest prefix first.
+    :ivar accounts: the client accounts by the digest of each of their keys.
+    :ivar least_priority: the priority of the most urgent client accounts.
     """
 
     document: RouteDocument
@@ -65,14 +65,18 @@
         return self.document.version
 
     def route(self, host: str, path: str) -> Route | RouteUnknown:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest prefix that matches the path."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return RouteUnknown()
 
     def account(self, route: Route, key: str) -> RouteAccount | KeyUnknown | None:
-        """Return whose key it is; None where a request needs none and has none."""
+        """Return the client account of a key.
+
+        :returns: None if there are no accounts, or if the route is public and the key
+            belongs to no account.
+        """
         if not self.accounts:
             return None
         found = self.accounts.get(key_digest(key)) if key else None
@@ -81,13 +85,13 @@
         return found
 
     def urgency(self, route: Route, account: RouteAccount | None) -> int:
-        """Return how urgent a request is; 0 is the most urgent."""
-        own = account.priority if account is not None else None
-        return urgency(route.priority, own, self.least_priority)
+        """Return the urgency of a request; 0 is the most urgent."""
+        account_priority = account.priority if account is not None else None
+        return urgency(route.priority, account_priority, self.least_priority)
 
 
 def make_table(document: RouteDocument, digest: str) -> RouteTable:
-    """Return a document with its look-ups."""
+    """Return a document with its lookup tables."""
     by_host: dict[str, list[Route]] = {}
     for route in document.routes:
         by_host.setdefault(route.host, []).append(route)
@@ -105,31 +109,31 @@
 
 
 class RoutesInForce:
-    """Holds the version in force and decides on offered ones."""
+    """Holds the version in force and accepts or rejects offered versions."""
 
     def __init__(self) -> None:
         self._current: RouteTable | None = None
         self._texts: OrderedDict[str, bytes] = OrderedDict()
-        self._taken: list[Callable[[RouteTable], None]] = []
+        self._listeners: list[Callable[[RouteTable], None]] = []
         self._lock = threading.Lock()
 
     @property
     def current(self) -> RouteTable | None:
-        """The version in force; None while there is none."""
+        """The version in force; None before the first one."""
         return self._current
 
-    def when_taken(self, taken: Callable[[RouteTable], None]) -> None:
-        """Have a function called after each version that comes into force."""
-        self._taken.append(taken)
+    def when_taken(self, listener: Callable[[RouteTable], None]) -> None:
+        """Register a function that is called after each version takes effect."""
+        self._listeners.append(listener)
 
     def text(self, digest: str) -> bytes | None:
-        """Return the text of one of the last few versions in force."""
+        """Return the text of a recent version; None if it is not kept."""
         return self._texts.get(digest)
 
     def offer(self, document: RouteDocument, text: bytes) -> Offer:
-        """Take a version where it is newer than the one in force.
+        """Put a version in force if it is newer than the current one.
 
-        :param text: as it was published.
+        :param text: the published text.
         """
         digest = text_digest(text)
         with self._lock:
@@ -143,8 +147,8 @@
                 self._texts.popitem(last=False)
             table = make_table(document, digest)
             self._current = table
-        for taken in self._taken:
-            taken(table)
+        for listener in self._listeners:
+            listener(table)
         return Offer.TAKEN
 
 
--- a/boragestream/policy/superseded.py
+++ b/boragestream/policy/superseded.py
@@ -1,8 +1,8 @@
-"""Writes that were superseded lately, so that a copy of the store can't revive them.
+"""Recently superseded writes, remembered so that a restored store can't revive them.
 
-A store that comes back from a copy some seconds old answers with writes that had been
-replaced or removed before. They are told from new ones by their revisions, which a copy
-keeps. Left out: what is used in their place, which ``policy.published_table`` decides.
+A store restored from a copy that is some seconds old answers with writes that had
+already been replaced or removed. Their revisions, which a copy keeps, distinguish them
+from new writes. ``policy.held_values`` decides which writes are used instead.
 """
 
 from collections import deque
@@ -12,14 +12,14 @@
 
 __all__ = ["SupersededWrites"]
 
-# A copy is some seconds old; an outage before the return can last as well.
+# Covers the age of a copy, which is some seconds, and an outage before the restore.
 MEMORY_SECONDS = 120.0
-# The changes of a rolling release of thousands of servers.
-MOST_WRITES = 8192
+# Covers the changes during a rolling release of thousands of servers.
+MAX_WRITES = 8192
 
 
 class SupersededWrites:
-    """The writes that were replaced or removed lately; not thread-safe.
+    """The writes that were recently replaced or removed; not thread-safe.
 
     :param now: returns the clock's seconds.
     """
@@ -27,24 +27,24 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
         self._writes: set[tuple[str, Write]] = set()
-        # In the order in which they were superseded, with when.
+        # Time, key and write, in the order in which the writes were superseded.
         self._order: deque[tuple[float, str, Write]] = deque()
 
     def note(self, key: str, write: Write) -> None:
-        """Take that a write has just been replaced or removed."""
+        """Record that a write has just been replaced or removed."""
         if (key, write) not in self._writes:
             self._writes.add((key, write))
             self._order.append((self._now(), key, write))
-        self._forget()
+        self._discard_old()
 
     def includes(self, key: str, write: Write) -> bool:
-        """Tell whether a write is known to have been superseded."""
+        """Return whether a write is known to have been superseded."""
         return (key, write) in self._writes
 
-    def _forget(self) -> None:
-        old = self._now() - MEMORY_SECONDS
+    def _discard_old(self) -> None:
+        oldest_kept = self._now() - MEMORY_SECONDS
         while self._order and (
-            self._order[0][0] < old or len(self._order) > MOST_WRITES
+            self._order[0][0] < oldest_kept or len(self._order) > MAX_WRITES
         ):
             _, key, write = self._order.popleft()
             self._writes.discard((key, write))
--- a/boragestream/policy/watching.py
+++ b/boragestream/policy/watching.py
@@ -1,17 +1,18 @@
-"""Which entries watch what the platform publishes, and when the others ask it.
-
-The platform counts each call, a waiting watch as one, so that the number of calls must
-not grow with the number of entries times the number of changes: with 195 entries that
-all watched, calls took 0.04 to 0.11 of what a day was worth. Two entries of each data
-centre watch, chosen alike by all entries from those that they believe to be alive;
-where beliefs differ for a moment, one too many or too few watches, which does no harm.
-The others learn it from their peers.
-
-Load patterns: hundreds of entries and a change every second; all watchers gone at once;
-an outage of the platform, in which everybody would ask all the time; a platform that
-turns the watchers away and would answer others. How what is published travels between
-entries is left to ``entry.relay`` and ``entry.published_relay``, the calls themselves
-to ``daemon.publication``.
+"""Selection of the watcher entries and scheduling of calls to the platform's store.
+
+The platform charges for each call, and a pending watch counts as one call. The number
+of calls must therefore not grow with the number of entries times the number of changes:
+with 195 entries that all watched, calls cost 0.04 to 0.11 of a day's value. Two entries
+of each data centre watch. All entries select them by the same rule from the entries
+that they consider live. While their views differ, a data centre can briefly have one
+watcher too many or too few, which is harmless. The other entries receive the published
+values from their peers.
+
+Load patterns: hundreds of entries and a change every second; the simultaneous loss of
+all watchers; an outage of the platform, in which every entry would retry continuously;
+a platform that refuses the watchers but would answer other entries. ``entry.relay`` and
+``entry.published_relay`` distribute published values between entries;
+``daemon.publication`` makes the calls.
 """
 
 import math
@@ -26,137 +27,140 @@
 from boragestream.policy.peers import ListedEntry
 
 __all__ = [
-    "MOST_AGE_SECONDS",
+    "MAX_AGE_SECONDS",
     "StoreFollowing",
     "direct_read_seconds",
     "is_first_watcher",
     "is_watcher",
-    "retry_pause_seconds",
-    "watchers",
+    "retry_delay_seconds",
+    "select_watchers",
 ]
 
 WATCHERS_PER_DATA_CENTRE = 2
-# All the entries that do not watch read directly this often together, to get round a
-# relay that is silent without anybody noticing.
+# Total rate of direct reads by all entries that do not watch. These reads bypass a
+# relay that has stopped without being detected.
 DIRECT_READS_PER_SECOND = 2.0
 MIN_DIRECT_READ_SECONDS = 5.0
-# An entry that gets nothing from its peers asks the platform so long before a change
-# must be in force: time for a call, a lost packet and a slow core.
-ASK_MARGIN_SECONDS = 1.0
-# A part of shorter bounds.
-ASK_MARGIN_SHARE = 0.5
-# An entry that has just started does not know yet who else watches, nor is it known to
-# those who would tell it. For so long it watches by itself what changes fastest: one
-# call more a start, for which it knows of a leaving server as soon as a watcher does.
-SETTLE_SECONDS = 2.0
-# A platform that gave no answer may serve this entry again at any moment, but each call
-# counts. The pause doubles up to the second figure, which the return of an outage may
-# take to be noticed by one watcher; of several the first informs the others.
+# An entry without messages from its peers calls the platform this long before the bound
+# expires, which leaves time for a call, a lost packet and a slow core.
+CALL_MARGIN_SECONDS = 1.0
+# Upper limit of the margin as a share of the bound, for short bounds.
+CALL_MARGIN_SHARE = 0.5
+# An entry that has just started does not know the watchers yet, and its peers do not
+# relay to it yet. During this time it watches the prefix that changes fastest itself.
+# This costs one call per start and detects a leaving server as early as a watcher does.
+STARTUP_SECONDS = 2.0
+# Initial and longest delay before a retry. A platform that did not answer may recover
+# at any moment, but each call is charged, so the delay doubles up to the second value.
+# A single watcher may take that long to detect the end of an outage; of several
+# watchers, the first one to detect it informs the others.
 RETRY_SECONDS = 0.3
-MOST_RETRY_SECONDS = 2.0
-# While the platform does not answer the watchers, the other entries together ask it
-# this often. A platform that turns the watchers alone away is found in a quarter of a
-# second, and an outage costs the same whatever the number of entries.
+MAX_RETRY_SECONDS = 2.0
+# Total rate at which the other entries probe the platform while it does not answer the
+# watchers. They detect within a quarter of a second that only the watchers are refused,
+# and the cost of an outage does not depend on the number of entries.
 PROBES_PER_SECOND = 4.0
-# A failure that was reported longer ago says nothing of the platform any more.
-TROUBLE_SECONDS = 3.0
-# The highest age that is sent and logged; older knowledge is as good as none.
-MOST_AGE_SECONDS = 3600.0
-# Whether an entry has become a watcher is looked at this often.
-LOOK_SECONDS = 0.5
-LEAST_PAUSE_SECONDS = 0.02
-
-
-def watchers(names: Iterable[str]) -> frozenset[str]:
-    """Return which of a data centre's live entries watch, by rendezvous hashing."""
-    ranked = sorted(names, key=_weight, reverse=True)
+# A failure older than this is no evidence of the platform's current state.
+FAILURE_RELEVANT_SECONDS = 3.0
+# The highest age that is sent and logged; older values count as unknown.
+MAX_AGE_SECONDS = 3600.0
+# Interval at which an entry checks whether it has become a watcher.
+CHECK_INTERVAL_SECONDS = 0.5
+MIN_PAUSE_SECONDS = 0.02
+
+
+def select_watchers(names: Iterable[str]) -> frozenset[str]:
+    """Return the watchers among a data centre's live entries, by rendezvous hashing."""
+    ranked = sorted(names, key=_rendezvous_weight, reverse=True)
     return frozenset(ranked[:WATCHERS_PER_DATA_CENTRE])
 
 
 def is_watcher(name: str, data_centre: str, usable: Iterable[ListedEntry]) -> bool:
     """Return whether an entry is one of its data centre's watchers.
 
-    :param usable: the live entries; one that they do not name yet counts itself in.
+    :param usable: the live entries; the entry itself is added if they lack it.
     """
     names = {entry.name for entry in usable if entry.data_centre == data_centre}
-    return name in watchers(names | {name})
+    return name in select_watchers(names | {name})
 
 
 def is_first_watcher(name: str, usable: Iterable[ListedEntry]) -> bool:
-    """Return whether an entry comes first among the watchers of all data centres.
+    """Return whether an entry ranks first among the watchers of all data centres.
 
-    :param usable: the live entries; one that they do not name yet counts itself in.
+    :param usable: the live entries; the entry itself is added if they lack it.
     """
-    return max({name, *(entry.name for entry in usable)}, key=_weight) == name
+    return (
+        max({name, *(entry.name for entry in usable)}, key=_rendezvous_weight) == name
+    )
 
 
 def direct_read_seconds(entries: int, rng: random.Random) -> float:
-    """Return how long an entry that does not watch waits until it reads directly.
+    """Return the delay before the next direct read of an entry that does not watch.
 
-    :param entries: how many entries are live.
-    :param rng: spreads the reads.
+    :param entries: the number of live entries.
+    :param rng: randomises the delay, so that reads of different entries spread out.
     """
     mean = max(MIN_DIRECT_READ_SECONDS, entries / DIRECT_READS_PER_SECOND)
     return mean * (0.5 + rng.random())
 
 
-def retry_pause_seconds(failures: int) -> float:
-    """Return how long to wait after so many questions in a row without an answer."""
-    # The power is bounded as well, since an outage may last.
-    return min(MOST_RETRY_SECONDS, RETRY_SECONDS * 2 ** min(failures - 1, 16))
+def retry_delay_seconds(failures: int) -> float:
+    """Return the delay after a number of consecutive calls without an answer."""
+    # The exponent is bounded to prevent an overflow in a long outage.
+    return min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2 ** min(failures - 1, 16))
 
 
-def _weight(name: str) -> int:
+def _rendezvous_weight(name: str) -> int:
     return xxhash.xxh64_intdigest(f"configuration {name}".encode())
 
 
 @dataclass(slots=True)
-class _Following:
-    """What is known under one prefix by this entry's own calls.
-
-    :ivar at_once: whether this entry watches it while it settles.
-    :ivar known_at: everything published until then is known here.
-    :ivar waits: whether a call is under way.
-    :ivar in_row: whether the call before it was answered, so that one that waits on
-        its connection says that nothing has changed.
-    :ivar doubted: whether the platform has not answered another question since the
-        call under way began, so that this one may be lost as well.
-    :ivar unusable: how many answers could not be used since the last watch that could.
-    :ivar not_before: when to ask again after those.
+class _PrefixState:
+    """The state of this entry's own calls for one prefix.
+
+    :ivar at_startup: whether this entry watches the prefix during its start-up time.
+    :ivar complete_until: the time up to which every published change is known here.
+    :ivar call_pending: whether a call is in progress.
+    :ivar follows_answer: whether the previous call was answered. A watch that is then
+        pending on the same connection shows that nothing has changed.
+    :ivar suspect: whether another request has failed since the pending call began, so
+        that the pending call may be lost as well.
+    :ivar unusable_answers: the number of unusable answers since the last usable watch.
+    :ivar retry_at: the earliest time of the next call after unusable answers.
     """
 
-    at_once: bool
-    known_at: float = -math.inf
-    waits: bool = False
-    in_row: bool = False
-    doubted: bool = False
-    unusable: int = 0
-    not_before: float = -math.inf
+    at_startup: bool
+    complete_until: float = -math.inf
+    call_pending: bool = False
+    follows_answer: bool = False
+    suspect: bool = False
+    unusable_answers: int = 0
+    retry_at: float = -math.inf
 
     def end(self, answered: bool) -> None:
-        """Take that the call under way has ended."""
-        self.waits = False
-        self.in_row = answered
-        self.doubted = False
+        """Record the end of the pending call."""
+        self.call_pending = False
+        self.follows_answer = answered
+        self.suspect = False
 
 
 class StoreFollowing:
-    """When this entry asks the platform's store itself; any thread may ask.
+    """Schedules this entry's own calls to the platform's store; thread-safe.
 
-    How old what it knows can be: everything published until ``age`` seconds ago is in
-    force here. The age is 0 while a watch waits that nothing speaks against, and
-    travels with each message between entries, so that it counts the whole way. Whether
-    such a watch is still there is made sure of by ``policy.confirming``.
+    Every change published up to ``age`` seconds ago is in force here. The age is 0
+    while a watch is pending and no evidence suggests that it is lost. Each message
+    between entries carries the age, so that it accumulates along the whole path.
+    ``policy.confirming`` verifies that a pending watch is still served.
 
-    An entry asks by itself once what its peers sent is older than the bound less a
-    margin, and so keeps the bound also where it is cut off from its peers or all
-    watchers are gone.
+    An entry calls the store itself once the values relayed by its peers are older than
+    the bound less a margin. It thereby keeps the bound also when it is cut off from its
+    peers or all watchers are lost.
 
-    :param prefixes: what is followed, by the keys' beginnings; of each whether it is
-        watched from the start on.
-    :param bound_seconds: the longest until a published change must be in force here.
+    :param prefixes: the key prefixes to read; the value tells whether this entry
+        watches the prefix during its start-up time.
+    :param bound_seconds: the longest time until a published change must be in force.
     :param designated: returns whether this entry is one of the watchers.
-    :param entries: returns how many entries are known to be alive.
+    :param entries: returns the number of entries believed live.
     """
 
     def __init__(
@@ -172,202 +176,211 @@
         self._rng = rng
         self._designated = designated
         self._entries = entries
-        self._began = clock.now()
-        self._own = {prefix: _Following(once) for prefix, once in prefixes.items()}
+        self._started_at = clock.now()
+        self._prefixes = {
+            prefix: _PrefixState(watched) for prefix, watched in prefixes.items()
+        }
         self._relayed_at = -math.inf
-        margin = min(ASK_MARGIN_SECONDS, ASK_MARGIN_SHARE * bound_seconds)
-        self._patience = bound_seconds - margin
-        self._trouble_at = -math.inf
-        self._failures = 0
+        call_margin = min(CALL_MARGIN_SECONDS, CALL_MARGIN_SHARE * bound_seconds)
+        self._max_relay_age = bound_seconds - call_margin
+        self._last_failure_at = -math.inf
+        self._consecutive_failures = 0
         self._not_before = -math.inf
-        # Whether the moment of the next probe was drawn already.
-        self._drawn = False
+        # Whether the random time of the next probe is already set.
+        self._probe_scheduled = False
         self._lock = threading.RLock()
 
     def asks(self, prefix: str) -> bool:
-        """Tell whether to ask the store now; a call begins where it does."""
+        """Return whether to call the store now; if so, record a pending call."""
         now = self._clock.now()
         with self._lock:
-            own = self._own[prefix]
-            if not self._wants(own, now):
-                own.in_row = False
-                self._drawn = False
+            state = self._prefixes[prefix]
+            if not self._needs_call(state, now):
+                state.follows_answer = False
+                self._probe_scheduled = False
                 return False
-            if now < max(self._not_before, own.not_before):
+            if now < max(self._not_before, state.retry_at):
                 return False
-            if self._waits_for_turn(now):
+            if self._defer_probe(now):
                 return False
-            if self._failures:
-                # One prefix shows whether the store is there; the other is asked then.
-                self._not_before = now + self._pause()
-            own.waits = True
+            if self._consecutive_failures:
+                # A call for one prefix shows whether the store answers; the others
+                # are delayed until it does.
+                self._not_before = now + self._retry_delay()
+            state.call_pending = True
             return True
 
     def wait_seconds(self, prefix: str, longest: float) -> float:
-        """Return how long the call that begins may wait for a change.
+        """Return how long the next call may wait for a change, in seconds.
 
-        The first of several is answered at once, so that it says something: a watch
-        that waits on a connection that leads nowhere would pass for one at which
-        nothing changes.
+        The first call of a sequence is answered at once and so verifies the connection.
+        A watch pending on a dead connection would otherwise look like one without
+        changes.
 
-        :param longest: what the store allows.
+        :param longest: the longest wait that the store allows.
         """
-        if not self._own[prefix].in_row:
+        if not self._prefixes[prefix].follows_answer:
             return 0.0
-        settles = self._began + SETTLE_SECONDS - self._clock.now()
-        return min(longest, settles) if settles > 0 else longest
+        startup_left = self._started_at + STARTUP_SECONDS - self._clock.now()
+        return min(longest, startup_left) if startup_left > 0 else longest
 
     def pause_seconds(self, prefix: str) -> float:
-        """Return after how long it may be time to ask."""
+        """Return the delay in seconds until the next check whether to call."""
         now = self._clock.now()
         with self._lock:
-            not_before = max(self._not_before, self._own[prefix].not_before)
-            due = max(self._relayed_at + self._patience, not_before)
-            if due == -math.inf:
-                return LOOK_SECONDS
-            return min(LOOK_SECONDS, max(LEAST_PAUSE_SECONDS, due - now))
+            not_before = max(self._not_before, self._prefixes[prefix].retry_at)
+            due_at = max(self._relayed_at + self._max_relay_age, not_before)
+            if due_at == -math.inf:
+                return CHECK_INTERVAL_SECONDS
+            return min(CHECK_INTERVAL_SECONDS, max(MIN_PAUSE_SECONDS, due_at - now))
 
     def note_answer(self, prefix: str, of_watch: bool = True) -> None:
-        """Take that the store answered a call.
+        """Record that the store answered the pending call.
 
-        :param of_watch: whether it was a watch, that is, whether the store has the
-            changes since what is known.
+        :param of_watch: whether the call was a watch, so that the answer shows that the
+            store still has the changes since the known position.
         """
         with self._lock:
-            own = self._own[prefix]
-            own.known_at = self._clock.now()
-            own.end(answered=True)
+            state = self._prefixes[prefix]
+            state.complete_until = self._clock.now()
+            state.end(answered=True)
             if of_watch:
-                own.unusable = 0
-            self._note_there()
+                state.unusable_answers = 0
+            self._note_reachable()
 
     def note_confirmed(self, prefix: str, known_until: float) -> None:
-        """Take that the store answered a question beside the call under way.
+        """Record that the store answered a request other than the pending call.
 
-        :param known_until: everything published until then is known here, in the
-            clock's seconds.
+        :param known_until: the time, in the clock's seconds, up to which every
+            published change is known here.
         """
         with self._lock:
-            own = self._own[prefix]
-            own.known_at = max(own.known_at, known_until)
+            state = self._prefixes[prefix]
+            state.complete_until = max(state.complete_until, known_until)
 
     def note_unanswered(self) -> None:
-        """Take that the store gave no answer to a question beside the calls."""
+        """Record that a request other than the pending calls got no answer."""
         with self._lock:
-            self._trouble_at = self._clock.now()
-            for own in self._own.values():
-                own.doubted = own.waits
+            self._last_failure_at = self._clock.now()
+            for state in self._prefixes.values():
+                state.suspect = state.call_pending
 
     def note_lost(self, prefix: str) -> None:
-        """Take that a call was lost, while the store answered other questions."""
+        """Record that a call was lost while the store answered other requests."""
         with self._lock:
-            self._own[prefix].end(answered=False)
+            self._prefixes[prefix].end(answered=False)
 
     def note_failure(self, prefix: str) -> None:
-        """Take that the store gave no answer to a call."""
+        """Record that the store gave no answer to a call."""
         now = self._clock.now()
         with self._lock:
-            self._own[prefix].end(answered=False)
-            self._trouble_at = now
-            self._failures += 1
-            # The pause is spread already.
-            self._drawn = True
-            self._not_before = now + self._pause()
+            self._prefixes[prefix].end(answered=False)
+            self._last_failure_at = now
+            self._consecutive_failures += 1
+            # The retry delay is already randomised.
+            self._probe_scheduled = True
+            self._not_before = now + self._retry_delay()
 
     def note_unusable(self, prefix: str) -> None:
-        """Take that the store answered, but not what was asked for.
+        """Record that the store answered a call with an unusable answer.
 
-        It is there, so that nothing is put off: an entry whose watch is cut as the
-        history is dropped reads all at once, in place of two seconds later. A store
-        whose answers go on being of no use is not asked in a closed loop.
+        The store is reachable, so the first such answer causes no delay: an entry whose
+        watch fails because the store dropped its history reads all values immediately
+        instead of two seconds later. Repeated unusable answers increase the delay, to
+        prevent a busy loop.
         """
         with self._lock:
-            own = self._own[prefix]
-            own.end(answered=own.in_row)
-            self._note_there()
-            # What follows belongs to the turn that this entry has had.
-            self._drawn = True
-            own.unusable += 1
-            if own.unusable > 1:
-                pause = retry_pause_seconds(own.unusable - 1)
+            state = self._prefixes[prefix]
+            state.end(answered=state.follows_answer)
+            self._note_reachable()
+            # The retry belongs to the probe that this entry has already made.
+            self._probe_scheduled = True
+            state.unusable_answers += 1
+            if state.unusable_answers > 1:
+                pause = retry_delay_seconds(state.unusable_answers - 1)
                 spread = 0.5 + self._rng.random()
-                own.not_before = self._clock.now() + pause * spread
+                state.retry_at = self._clock.now() + pause * spread
 
     def waits(self, prefix: str) -> bool:
-        """Tell whether this entry relies on a watch that waits."""
-        own = self._own[prefix]
-        return own.waits and own.in_row
+        """Return whether this entry relies on a pending watch."""
+        state = self._prefixes[prefix]
+        return state.call_pending and state.follows_answer
 
     def take_notice(self, age_seconds: float, trouble_seconds: float) -> None:
-        """Take the age of a peer's message whose content is known here.
+        """Record the age of a peer's message whose content is known here.
 
-        :param age_seconds: how old what the peer knows can be.
-        :param trouble_seconds: how long ago the store did not answer somebody.
+        :param age_seconds: the highest possible age of the peer's values.
+        :param trouble_seconds: the time since the store last failed to answer any
+            entry.
         """
         now = self._clock.now()
         with self._lock:
             self._relayed_at = max(self._relayed_at, now - age_seconds)
-            self._trouble_at = max(self._trouble_at, now - trouble_seconds)
-            if now - age_seconds > self._trouble_at and not self._designated():
-                # Somebody was answered since, so that there is no outage any more to
-                # spread this entry's questions over.
-                self._failures = 0
+            self._last_failure_at = max(self._last_failure_at, now - trouble_seconds)
+            if now - age_seconds > self._last_failure_at and not self._designated():
+                # The store has answered another entry since the failure, so the outage
+                # is over and retries need no further delay.
+                self._consecutive_failures = 0
                 self._not_before = -math.inf
 
     def age(self) -> float:
-        """Return how old what is known here can be, in seconds.
+        """Return the highest possible age of the values known here, in seconds.
 
-        Where nothing is known for certain, such as after a start with what peers sent
-        alone, it is ``MOST_AGE_SECONDS``.
+        The age is at most ``MAX_AGE_SECONDS``, also when nothing is confirmed, as
+        after a start with only the values that peers sent.
         """
         now = self._clock.now()
         with self._lock:
-            known = min(self._known_at(own, now) for own in self._own.values())
-            return min(MOST_AGE_SECONDS, now - max(known, self._relayed_at))
+            known = min(
+                self._complete_until(state, now) for state in self._prefixes.values()
+            )
+            return min(MAX_AGE_SECONDS, now - max(known, self._relayed_at))
 
     def trouble_seconds(self) -> float:
-        """Return how long ago the store did not answer somebody; may be infinite."""
-        return self._clock.now() - self._trouble_at
+        """Return the time since the store last failed to answer any entry, or inf."""
+        return self._clock.now() - self._last_failure_at
 
-    def _wants(self, own: _Following, now: float) -> bool:
-        nothing_known = max(own.known_at, self._relayed_at) == -math.inf
-        if nothing_known or self._is_silent(own, now):
+    def _needs_call(self, state: _PrefixState, now: float) -> bool:
+        nothing_known = max(state.complete_until, self._relayed_at) == -math.inf
+        if nothing_known or self._relay_overdue(state, now):
             return True
-        if now - self._began < SETTLE_SECONDS:
-            return own.at_once
+        if now - self._started_at < STARTUP_SECONDS:
+            return state.at_startup
         return self._designated()
 
-    def _is_silent(self, own: _Following, now: float) -> bool:
-        """Tell whether the peers have said nothing in time."""
+    def _relay_overdue(self, state: _PrefixState, now: float) -> bool:
+        """Return whether the last relayed update is older than allowed."""
         confirmed_at = self._relayed_at
         if confirmed_at == -math.inf:
-            # Until the peers' first word, own answers count.
-            confirmed_at = own.known_at if not own.in_row else self._began
-        return now - confirmed_at > self._patience
-
-    def _waits_for_turn(self, now: float) -> bool:
-        """Tell whether this entry's turn among all those that probe is yet to come."""
-        troubled = now - self._trouble_at < TROUBLE_SECONDS
-        if self._drawn or not troubled or self._designated():
+            # Until the first message of a peer, this entry's own answers count.
+            confirmed_at = (
+                state.complete_until if not state.follows_answer else self._started_at
+            )
+        return now - confirmed_at > self._max_relay_age
+
+    def _defer_probe(self, now: float) -> bool:
+        """Schedule this entry's probe in an outage; return whether it was deferred."""
+        recent_failure = now - self._last_failure_at < FAILURE_RELEVANT_SECONDS
+        if self._probe_scheduled or not recent_failure or self._designated():
             return False
-        self._drawn = True
-        self._not_before = now + self._rng.random() * self._spread()
+        self._probe_scheduled = True
+        self._not_before = now + self._rng.random() * self._mean_probe_interval()
         return True
 
-    def _spread(self) -> float:
+    def _mean_probe_interval(self) -> float:
         return self._entries() / PROBES_PER_SECOND
 
-    def _pause(self) -> float:
-        pause = retry_pause_seconds(self._failures)
+    def _retry_delay(self) -> float:
+        pause = retry_delay_seconds(self._consecutive_failures)
         if not self._designated():
-            pause = max(pause, self._spread())
+            pause = max(pause, self._mean_probe_interval())
         return pause * (0.5 + self._rng.random())
 
-    def _note_there(self) -> None:
-        self._failures = 0
+    def _note_reachable(self) -> None:
+        self._consecutive_failures = 0
         self._not_before = -math.inf
-        self._drawn = False
+        self._probe_scheduled = False
 
-    def _known_at(self, own: _Following, now: float) -> float:
-        trusted = own.waits and own.in_row and not own.doubted
-        return now if trusted else own.known_at
+    def _complete_until(self, state: _PrefixState, now: float) -> float:
+        trusted = state.call_pending and state.follows_answer and not state.suspect
+        return now if trusted else state.complete_until
--- a/tests/features/steps/entry_relay.py
+++ b/tests/features/steps/entry_relay.py
@@ -8,7 +8,7 @@
 
 from boragestream.entry.exchange import ROUND_SECONDS
 from boragestream.platform.reader import PlatformUnreachable, Reading, read_platform
-from boragestream.policy.watching import watchers
+from boragestream.policy.watching import select_watchers
 from tests.standins.fleet import ADDRESS, fetch, wait_until
 from tests.standins.http import Handler, Server
 
@@ -184,7 +184,7 @@
 
 @when("the watching entries are frozen")
 def step(context):
-    context.frozen = watchers(context.fleet.entries)
+    context.frozen = select_watchers(context.fleet.entries)
     for name in context.frozen:
         process = context.fleet.entries[name]
         process.freeze()
--- a/tests/features/steps/policy_membership.py
+++ b/tests/features/steps/policy_membership.py
@@ -12,11 +12,11 @@
     FINAL_STATES,
     Member,
     MemberState,
-    later,
     merge,
+    prevailing_record,
 )
 from boragestream.policy.peers import EntryTable, ListedEntry
-from boragestream.policy.watching import watchers
+from boragestream.policy.watching import select_watchers
 
 EXAMPLES = 300
 NAMES = ("entry-1", "entry-2", "entry-3")
@@ -78,7 +78,11 @@
     """Return whether "leaving" of one incarnation survives another word of it."""
     lives = {(m.generation, m.incarnation) for m in (one, other)}
     final = any(m.state in FINAL_STATES for m in (one, other))
-    return len(lives) > 1 or not final or later(one, other).state in FINAL_STATES
+    return (
+        len(lives) > 1
+        or not final
+        or prevailing_record(one, other).state in FINAL_STATES
+    )
 
 
 @then(
@@ -164,9 +168,9 @@
 def step(context):
     for count in (3, 30, 300):
         names = {f"entry-{i}" for i in range(count)}
-        chosen = watchers(names)
+        chosen = select_watchers(names)
         assert len(chosen) == 2
         for missing in chosen:
-            rest = watchers(names - {missing})
+            rest = select_watchers(names - {missing})
             assert len(rest) == 2
             assert rest > chosen - {missing}
--- a/tests/standins/following.py
+++ b/tests/standins/following.py
@@ -15,10 +15,10 @@
 from boragestream.policy.publication import Change, Changes, Position, Snapshot
 from boragestream.policy.published_table import PublishedTable, Standing
 from boragestream.policy.watching import (
-    MOST_AGE_SECONDS,
+    MAX_AGE_SECONDS,
     StoreFollowing,
     is_first_watcher,
-    watchers,
+    select_watchers,
 )
 from tests.standins.clock import SetClock
 from tests.standins.copied_store import Copied
@@ -134,7 +134,7 @@
     def designated(self):
         """Tell whether this entry is a watcher, by the entries that run."""
         peers = [e for e in self.site.running() if e.centre == self.centre]
-        return self.name in watchers(e.name for e in peers)
+        return self.name in select_watchers(e.name for e in peers)
 
     def table_of(self, prefix):
         """Return the table of what is published under a prefix."""
@@ -298,7 +298,7 @@
     def word(self):
         """Return what this entry says; None while it knows nothing."""
         age = self.following.age()
-        if self.table.revision is None or age >= MOST_AGE_SECONDS:
+        if self.table.revision is None or age >= MAX_AGE_SECONDS:
             return None
         confirmed = self.confirming.age()
         trouble = self.following.trouble_seconds()
@@ -320,7 +320,7 @@
         if self.table.era > position.era:
             return
         self.following.take_notice(age, trouble)
-        if confirmed < MOST_AGE_SECONDS:
+        if confirmed < MAX_AGE_SECONDS:
             self.confirming.take_notice(confirmed)
 
     def lacks(self, other, position):
