--- a/boragestream/daemon/operator_values.py
+++ b/boragestream/daemon/operator_values.py
@@ -1,8 +1,8 @@
-"""Takes what operators publish into the tables of an entry.
+"""Applies the values that operators publish to the tables of an entry.
 
-The configuration is offered to the routes in force, drained data centres are withheld
-from the choice of servers. Data centres that no server stands in are named in the log
-and withheld as well: their servers may be about to come.
+The configuration is offered to the routes in force, and drained data centres are
+excluded from the choice of servers. Drained data centres without a listed server are
+logged and excluded as well, since their servers may be listed later.
 """
 
 import threading
@@ -25,11 +25,11 @@
 
 
 class OperatorValues:
-    """The operators' values, decoded.
+    """Decodes the operators' values and applies them.
 
-    :param take_text: takes the text of a configuration.
+    :param take_text: called with the text of each new configuration.
     :param changed: called after each change of the drained data centres.
-    :param age: returns how long ago what is published was confirmed, in seconds.
+    :param age: returns the time since the published values were confirmed, in seconds.
     """
 
     def __init__(
@@ -46,43 +46,44 @@
         self._changed = changed
         self._age = age
         self._text: bytes | None = None
-        # None until something is known of them.
-        self._keys: frozenset[str] | None = None
+        # The keys of the drained data centres; None before the first answer.
+        self._drained_keys: frozenset[str] | None = None
         self._lock = threading.Lock()
 
     def take(self, values: dict[str, bytes]) -> None:
-        """Take all values by key."""
+        """Apply all published values, given by key."""
         with self._lock:
-            # First, since a configuration can take long to decode.
+            # Drained data centres come first, since decoding a configuration can take
+            # long.
             drained = (key for key in values if key.startswith(DRAINED_PREFIX))
-            self._take_drained(frozenset(drained))
+            self._apply_drained(frozenset(drained))
             text = values.get(CONFIGURATION_KEY)
             if text is not None and text != self._text:
                 self._text = text
                 self._take_text(text)
 
-    def _take_drained(self, keys: frozenset[str]) -> None:
-        if keys == self._keys:
+    def _apply_drained(self, keys: frozenset[str]) -> None:
+        if keys == self._drained_keys:
             return
-        first = self._keys is None
-        self._keys = keys
+        first = self._drained_keys is None
+        self._drained_keys = keys
         read = {key: read_drained_centre(key) for key in sorted(keys)}
         centres = frozenset(name for name in read.values() if isinstance(name, str))
         before = self._servers.drained
         listed = self._servers.all
-        # Before they are used again.
+        # The servers are marked as cold before they can be chosen again.
         restored = before - centres
         self._cold.assume_cold(s for s in listed if s.data_centre in restored)
         self._servers.take_drained(centres)
         if first and not keys:
             return
-        known = {server.data_centre for server in listed}
+        listed_centres = {server.data_centre for server in listed}
         emit(
             Event.DATA_CENTRES_DRAINED,
             drained=sorted(centres),
             added=sorted(centres - before),
             restored=sorted(restored),
-            without_servers=sorted(centres - known),
+            without_servers=sorted(centres - listed_centres),
             malformed=[k for k, v in read.items() if isinstance(v, PublishedMalformed)],
             list_age_ms=int(self._age() * 1000),
         )
@@ -92,9 +93,10 @@
 def take_route_text(
     routes: RoutesInForce, text: bytes, source: str, position: Position | None
 ) -> bool:
-    """Offer a published text; False where it can't be read.
+    """Offer a published configuration; return False if it can't be decoded.
 
-    :param position: where the store's answer stands; None for another entry's text.
+    :param position: the position of the store's answer; None for a text that another
+        entry relayed.
     """
     document = read_route_document(text)
     if isinstance(document, PublishedMalformed):
--- a/boragestream/daemon/publication.py
+++ b/boragestream/daemon/publication.py
@@ -1,9 +1,10 @@
-"""The tasks that follow the platform's store: one for each prefix.
+"""Follows the keys under one prefix of the platform's store.
 
-Each is a loop written straight down, run by one thread until the entry stops. When to
-ask is decided by ``policy.watching`` and, beside a watch that waits, by
-``policy.confirming``; what is taken by ``policy.publication``; what is published is
-decoded by the adapter. What other entries pass on comes in by ``take_relayed``.
+Each prefix is followed by one loop, which one thread runs until the entry stops.
+``policy.watching`` decides when to send a watch or a read, and ``policy.confirming``
+when to send a further read while a watch is open. ``policy.publication`` defines the
+answers, and the platform adapter decodes the published values. Values that other
+entries relay arrive through ``take_relayed``.
 """
 
 import threading
@@ -28,25 +29,25 @@
 
 __all__ = ["Publication"]
 
-# While changes come one after the other the gap doubles up to this. At the start of 83
-# entries, when servers are listed one by one for five seconds, the gap alone left 17
-# calls an entry; it is well below the seconds that a leaving server still serves.
-MOST_GAP_SECONDS = 1.0
-# A platform that answers without any change, at once, is not asked in a closed loop.
-QUIET_GAP_SECONDS = 0.05
-# A watch that ends without an answer was lost alone where the platform has answered
-# another question, of whichever entry, within this time and since it began. Else the
-# platform is away.
-LOST_ALONE_SECONDS = 3.0
+# While changes keep coming, the gap between two watches doubles up to this limit. When
+# 83 entries start and servers are listed one by one for five seconds, a constant gap
+# still gave 17 calls per entry. The limit is well below the seconds for which a leaving
+# server still serves requests.
+MAX_GAP_SECONDS = 1.0
+# Prevents a busy loop when the platform answers at once without any change.
+UNCHANGED_GAP_SECONDS = 0.05
+# A watch that ends without an answer counts as a lost watch if the platform answered
+# another read or watch, of any entry, within this time and since the watch began.
+# Otherwise the platform counts as unreachable.
+LOST_WATCH_SECONDS = 3.0
 
-
-# The log names the first few keys of a change and says how many there are.
+# The log names this many keys of a change and gives the number of all.
 LOGGED_KEYS = 5
 
 
 @dataclass(frozen=True, slots=True)
 class _State:
-    """What a table goes by: up to where it is known, and what is held."""
+    """The position of a table and the keys of its held values."""
 
     position: Position | None
     held: frozenset[str]
@@ -54,18 +55,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Publication:
-    """Follows what is published under one prefix.
+    """Follows the values that are published under one prefix.
 
-    :ivar watch_seconds: how long one watch may wait.
-    :ivar take: takes the values by key after each change.
-    :ivar changed: called after each change, so that it is passed on to other entries.
-    :ivar unreachable: the event to log where the store gives no answer.
-    :ivar clock: times the answers.
-    :ivar answered: called for each answer of the store, before it is taken.
-    :ivar gap_seconds: how long to wait after changes, so that others that follow come
-        in one answer; longer while they keep coming.
-    :ivar known: called after each answer, also where nothing has changed.
-    :ivar failed: called each time that the store gave no answer.
+    :ivar watch_seconds: the longest time that one watch may stay open.
+    :ivar take: called with the values by key after each change.
+    :ivar on_change: called after each change, to relay it to other entries.
+    :ivar unreachable: the event to log if the store gives no answer.
+    :ivar clock: measures the duration of calls to the store.
+    :ivar before_answer: called for each answer of the store, before it is applied.
+    :ivar gap_seconds: how long to wait after a change, so that the changes that follow
+        arrive in one answer; the wait doubles while changes keep coming.
+    :ivar on_answer: called after each answer, even if nothing has changed.
+    :ivar on_failure: called each time that the store gives no answer.
     """
 
     store: PublishedStore
@@ -75,65 +76,66 @@
     following: StoreFollowing
     confirming: Confirming
     take: Callable[[dict[str, bytes]], None]
-    changed: Callable[[], None]
-    answered: Callable[[], None]
+    on_change: Callable[[], None]
+    before_answer: Callable[[], None]
     unreachable: Event
     stopping: threading.Event
     clock: Clock
-    known: Callable[[], None] = lambda: None
-    failed: Callable[[], None] = lambda: None
+    on_answer: Callable[[], None] = lambda: None
+    on_failure: Callable[[], None] = lambda: None
     gap_seconds: float = 0.0
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     def run(self) -> None:
-        """Follow what is published until the entry stops."""
-        again = False
+        """Follow the published values until the entry stops."""
+        must_read = False
         failing = False
         gap = self.gap_seconds
         while not self.stopping.is_set():
             if not self.following.asks(self.prefix):
                 self.stopping.wait(self.following.pause_seconds(self.prefix))
                 continue
-            asked_at, asked = self.clock.now(), self.table.position
-            answer = self._ask(again)
-            standing = self._standing(answer, asked)
-            again = standing is Standing.UNCONNECTED
-            if again or standing is Standing.OUTDATED:
+            sent_at, sent_position = self.clock.now(), self.table.position
+            answer = self._request(must_read)
+            standing = self._classify(answer, sent_position)
+            must_read = standing is Standing.UNCONNECTED
+            if must_read or standing is Standing.OUTDATED:
                 self.following.note_unusable(self.prefix)
                 continue
             if isinstance(answer, Failure):
-                failing = self._end_unanswered(answer, asked_at, failing)
+                failing = self._record_unanswered(answer, sent_at, failing)
                 continue
             if failing:
                 self._log_regained(answer)
             failing = False
-            changed = self._take(answer)
-            at_once = self.clock.now() - asked_at < self.gap_seconds
-            if changed and at_once:
-                gap = min(MOST_GAP_SECONDS, 2 * gap)
+            changed = self._accept(answer)
+            answered_quickly = self.clock.now() - sent_at < self.gap_seconds
+            if changed and answered_quickly:
+                gap = min(MAX_GAP_SECONDS, 2 * gap)
             else:
                 gap = self.gap_seconds
-            self.stopping.wait(gap if changed else QUIET_GAP_SECONDS)
+            self.stopping.wait(gap if changed else UNCHANGED_GAP_SECONDS)
 
     def confirm(self) -> bool:
-        """Ask a question that does not wait where the watch may be lost.
+        """Send a read that returns at once if the open watch may be lost.
 
-        So is one asked after an outage that the watch has outlived, as only the first
-        answer after it separates what lapsed from what is removed later.
+        A read is also sent after an outage during which the watch stayed open: only
+        the first answer after the outage tells the keys that lapsed from those that
+        are removed later.
 
-        :returns: False where the store gave no answer.
+        :returns: False if the store gave no answer.
         """
         if not self.following.waits(self.prefix):
             return True
-        settles = self.table.unsettled and not self.confirming.put_off
-        if not settles and not self.confirming.asks(self.prefix):
+        must_settle = self.table.unsettled and not self.confirming.put_off
+        if not must_settle and not self.confirming.asks(self.prefix):
             return True
-        asked_at, asked = self.clock.now(), self.table.position
-        answer = self.store.watch(self.prefix, asked.revision, 0.0)
-        if self._standing(answer, asked) is Standing.UNCONNECTED:
+        sent_at, sent_position = self.clock.now(), self.table.position
+        answer = self.store.watch(self.prefix, sent_position.revision, 0.0)
+        if self._classify(answer, sent_position) is Standing.UNCONNECTED:
             answer = self.store.read(self.prefix)
         if isinstance(answer, HistoryGone):
-            # The store came back from a copy as it was read.
+            # The store was restored from a copy during the read.
             self.confirming.note_unusable()
             return True
         if isinstance(answer, Failure):
@@ -142,69 +144,70 @@
             self.table.note_failure()
             self.following.note_unanswered()
             self.confirming.note_failure(self.prefix)
-            self.failed()
+            self.on_failure()
             return False
-        if self._standing(answer, asked) is Standing.OUTDATED:
+        if self._classify(answer, sent_position) is Standing.OUTDATED:
             self.confirming.note_unusable()
             return True
         if self.confirming.failing(self.prefix):
             self._log_regained(answer)
         self._apply(answer)
-        self.following.note_confirmed(self.prefix, asked_at)
-        self.confirming.note_answer(self.prefix, asked_at)
+        self.following.note_confirmed(self.prefix, sent_at)
+        self.confirming.note_answer(self.prefix, sent_at)
         return True
 
     def take_relayed(self, relayed: Relayed) -> None:
-        """Take what another entry passes on."""
+        """Apply values that another entry relays."""
         before = self._state()
         changed = self.table.take_relayed(relayed)
-        self._log_return(before, "peer")
+        self._log_transition(before, "peer")
         if changed:
             self._publish()
         if self.table.revision is not None:
-            self.known()
+            self.on_answer()
 
     def look_again(self) -> None:
-        """Believe the store again where it was to be believed later."""
+        """Release held values whose retention time has passed."""
         before = self._state()
         if self.table.drop_lapsed():
-            self._log_return(before, "time")
+            self._log_transition(before, "time")
             self._publish()
 
-    def _standing(
-        self, answer: Snapshot | Changes | Failure, asked: Position | None
+    def _classify(
+        self, answer: Snapshot | Changes | Failure, sent_position: Position | None
     ) -> Standing | None:
-        """Return what an answer is to the table; None where there is no answer."""
+        """Return how the table can use an answer; None if there is no answer."""
         if isinstance(answer, HistoryGone):
             return Standing.UNCONNECTED
         if isinstance(answer, Failure):
             return None
-        return self.table.standing(answer, asked)
+        return self.table.standing(answer, sent_position)
 
-    def _ask(self, again: bool) -> Snapshot | Changes | HistoryGone | Failure:
+    def _request(self, must_read: bool) -> Snapshot | Changes | HistoryGone | Failure:
         revision = self.table.revision
-        if revision is None or again:
+        if revision is None or must_read:
             return self.store.read(self.prefix)
         wait = self.following.wait_seconds(self.prefix, self.watch_seconds)
         return self.store.watch(self.prefix, revision, wait)
 
-    def _take(self, answer: Snapshot | Changes) -> bool:
+    def _accept(self, answer: Snapshot | Changes) -> bool:
         changed = self._apply(answer)
-        of_watch = isinstance(answer, Changes)
-        self.following.note_answer(self.prefix, of_watch)
+        from_watch = isinstance(answer, Changes)
+        self.following.note_answer(self.prefix, from_watch)
         self.confirming.note_answer(self.prefix, self.clock.now())
         return changed
 
     def _apply(self, answer: Snapshot | Changes) -> bool:
         before = self._state()
         first = before.position is None
-        self.answered()
+        self.before_answer()
         changed = self.table.take(answer) or first
-        self._log_return(before, "platform")
-        # Before it is passed on to others, who may ask for it at once.
+        self._log_transition(before, "platform")
+        # The values are applied before other entries are notified, since those may
+        # request them at once.
         if changed:
             self._publish()
-        self.known()
+        self.on_answer()
         return changed
 
     def _state(self) -> "_State":
@@ -219,8 +222,8 @@
             era=answer.era,
         )
 
-    def _log_return(self, before: "_State", source: str) -> None:
-        """Log a later era, and what is used against what the store says."""
+    def _log_transition(self, before: "_State", source: str) -> None:
+        """Log a later era and the values that began or ceased to be held."""
         now = self._state()
         if before.position is not None and now.position.era > before.position.era:
             emit(
@@ -257,25 +260,27 @@
     def _publish(self) -> None:
         with self.lock:
             self.take(self.table.values)
-        self.changed()
+        self.on_change()
 
-    def _end_unanswered(self, failure: Failure, asked_at: float, failing: bool) -> bool:
-        """Take that a call was not answered; True where the store is away."""
+    def _record_unanswered(
+        self, failure: Failure, sent_at: float, failing: bool
+    ) -> bool:
+        """Record an unanswered call; return whether the store counts as unreachable."""
         now = self.clock.now()
-        lately = max(asked_at, now - LOST_ALONE_SECONDS)
-        waited = self.following.waits(self.prefix)
-        if waited and self.confirming.confirmed_since(self.prefix, lately):
+        recently = max(sent_at, now - LOST_WATCH_SECONDS)
+        was_watching = self.following.waits(self.prefix)
+        if was_watching and self.confirming.confirmed_since(self.prefix, recently):
             emit(
                 Event.WATCH_LOST,
                 prefix=self.prefix,
-                waited_ms=int((now - asked_at) * 1000),
+                waited_ms=int((now - sent_at) * 1000),
                 failure=failure.describe(),
             )
             self.following.note_lost(self.prefix)
             return failing
         self.table.note_failure()
         self.following.note_failure(self.prefix)
-        self.failed()
+        self.on_failure()
         if not failing:
             emit(self.unreachable, failure=failure.describe())
         return True
--- a/boragestream/daemon/publications.py
+++ b/boragestream/daemon/publications.py
@@ -1,10 +1,10 @@
-"""What an entry follows of the platform's store, built once.
+"""Builds the objects that follow the platform's store for an entry.
 
-These are the servers, and what operators publish: the configuration and, where the
-settings name a bound for them, the drained data centres.
+An entry follows the list of servers and the values that operators publish: the
+configuration and, if the settings give a bound for them, the drained data centres.
 
-Building starts nothing. Each publication is run as a task of its own by
-``daemon.route_entry``; between entries they travel by ``entry.published_relay``.
+Building starts nothing. ``daemon.route_entry`` runs each publication as a task of its
+own, and ``entry.published_relay`` relays the published values between entries.
 """
 
 import random
@@ -40,24 +40,25 @@
 
 __all__ = ["AWAITED", "Publications", "make_publications"]
 
-# What must be known before requests can be served.
+# The entry needs the first answer for each of these before it can serve requests.
 AWAITED = (CONFIGURATION_KEY, SERVERS_PREFIX)
-# Changes of servers that are kept for entries that are behind: some minutes of a
-# rolling release of thousands of servers, half a megabyte.
-KEPT_CHANGES = 2048
-# At the start of a deployment its servers are listed one by one, and each change would
-# be an answer of its own to each watcher. A server that leaves serves on for seconds.
+# The number of changes of servers that are kept for entries that are behind. It covers
+# some minutes of a rolling release of thousands of servers and takes half a megabyte.
+MAX_KEPT_CHANGES = 2048
+# At the start of a deployment its servers are listed one by one, and without the gap
+# each watcher would get a separate answer for each change. The delay does no harm when
+# a server leaves, since it still serves requests for seconds.
 SERVERS_GAP_SECONDS = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class Publications:
-    """What is followed.
+    """The publications that an entry follows.
 
-    :ivar following: when this entry asks the store itself.
-    :ivar confirming: when it makes sure of what it knows.
-    :ivar operators: follows what operators publish.
-    :ivar relay: the part of the exchange that carries what is published.
+    :ivar following: decides when this entry sends watches and reads to the store.
+    :ivar confirming: decides when this entry confirms its values by a further read.
+    :ivar operators: follows the values that operators publish.
+    :ivar relay: the part of the exchange that carries published values.
     :ivar stopping: set once the entry ends.
     """
 
@@ -69,18 +70,19 @@
     stopping: threading.Event
 
     def held_count(self) -> int:
-        """Return how many values are used against what a returned store says."""
+        """Return the number of held values, which differ from a restored store's."""
         return len(self.servers.table.held) + len(self.operators.table.held)
 
     def confirm(self) -> None:
-        """Make sure of what is known until the entry ends."""
+        """Confirm the values by reads of the store until the entry ends."""
         while not self.stopping.wait(self.confirming.pause_seconds()):
-            # One question shows whether the store is there.
+            # One read shows whether the store is reachable.
             if self.operators.confirm():
                 self.servers.confirm()
             else:
-                # What lapses meanwhile comes back; without this every server was gone
-                # for half a second to two at the end of an outage that no watch met.
+                # Servers that lapse during the outage are published again after it.
+                # Without this call, every server was missing for 0.5 s to 2 s at the
+                # end of an outage that no watch had noticed.
                 self.servers.table.note_failure()
 
 
@@ -98,14 +100,14 @@
     clock: Clock,
     rng: random.Random,
 ) -> Publications:
-    """Build what follows the store; nothing runs yet.
+    """Build the objects that follow the store, without starting any.
 
     :param own: this entry's name among the entries.
     :param stopping: set once the entry ends.
     """
     prefix = CONFIGURATION_KEY if settings.draining_ms is None else OPERATOR_PREFIX
 
-    def designated() -> bool:
+    def is_designated() -> bool:
         return is_watcher(own, data_centre, members.entries.usable())
 
     following = StoreFollowing(
@@ -113,43 +115,44 @@
         rng,
         {prefix: False, SERVERS_PREFIX: True},
         settings.bound_seconds,
-        designated,
+        is_designated,
         lambda: len(members.entries.usable()) + 1,
     )
 
-    def first_watcher() -> bool:
+    def is_first() -> bool:
         return is_first_watcher(own, members.entries.usable())
 
     prefixes = (prefix, SERVERS_PREFIX)
-    confirming = Confirming(clock, rng, prefixes, settings.bound_seconds, first_watcher)
-    servers_table = PublishedTable(clock.now, KEPT_CHANGES)
+    confirming = Confirming(clock, rng, prefixes, settings.bound_seconds, is_first)
+    servers_table = PublishedTable(clock.now, MAX_KEPT_CHANGES)
     follow = partial(
         Publication,
         store=Store(settings.address),
         watch_seconds=settings.watch_seconds,
         following=following,
         confirming=confirming,
-        changed=members.exchange.hurry,
-        # Whatever it was asked about: a watch of the servers that outlives an outage
-        # answers only with their next change, which can be a long time after.
-        answered=servers_table.note_answer,
+        on_change=members.exchange.hurry,
+        # Each answer counts, whichever prefix it is for: a watch of the servers that
+        # stays open during an outage is answered only at the next change of a server,
+        # which can be a long time later.
+        before_answer=servers_table.note_answer,
         stopping=stopping,
         clock=clock,
-        failed=first.note_unreachable,
+        on_failure=first.note_unreachable,
     )
     operators = follow(
         prefix=prefix,
         table=OperatorTable(clock.now, DRAINED_PREFIX),
         take=take_operators,
         unreachable=Event.CONFIGURATION_UNREACHABLE,
-        known=partial(first.note_known, CONFIGURATION_KEY),
+        on_answer=partial(first.note_known, CONFIGURATION_KEY),
     )
     servers = follow(
         prefix=SERVERS_PREFIX,
         table=servers_table,
         take=take_servers,
         unreachable=Event.INSTANCES_UNREACHABLE,
-        known=partial(first.note_known, SERVERS_PREFIX),
+        on_answer=partial(first.note_known, SERVERS_PREFIX),
         gap_seconds=SERVERS_GAP_SECONDS,
     )
     relay = PublishedRelay(
--- a/boragestream/daemon/published_servers.py
+++ b/boragestream/daemon/published_servers.py
@@ -1,7 +1,8 @@
-"""Takes what is published of backend servers into the tables of an entry.
+"""Applies the published list of backend servers to the tables of an entry.
 
-An entry of another writer, or one that was overwritten by one, names no server to use;
-the others hold. Each is logged once, and a count of those that stand now is a metric.
+A published value that another program wrote or overwrote can't be decoded and is left
+out; the other values stay valid. Each malformed value is logged once, and a metric
+gives the number of malformed values that are published now.
 """
 
 import threading
@@ -21,23 +22,22 @@
 
 __all__ = ["PublishedServers"]
 
-# A writer that has gone wrong can spoil every entry; the log names the first few of
-# each change and says how many there are.
+# A faulty writer can damage all values, so the log names only this many malformed
+# values of each change and gives the number of all.
 LOGGED_FAULTS = 5
-# The text of a fault can quote what was published.
+# Limits the length of a logged fault, since its text can quote the published value.
 FAULT_CHARACTERS = 160
 
 
 class PublishedServers:
-    """The published servers, decoded.
+    """Decodes the published servers and applies them to the tables.
 
-    :param lives: returns the latest life of each.
-    :param cold: takes each entry that is new, since a server says there that it is
-        cold.
-    :param limits: which servers have a limit on their requests.
-    :param regions: by data centre the region that it is part of.
+    :param lives: returns the latest incarnation of each server.
+    :param cold: receives each new server whose published value says that it is cold.
+    :param limits: the servers that have a limit on their requests.
+    :param regions: the region of each data centre, by the name of the data centre.
     :param changed: called after each change of the list.
-    :param position: returns where the store's answers stand that the list goes by.
+    :param position: returns the position of the store up to which the list is complete.
     """
 
     def __init__(
@@ -64,31 +64,31 @@
         self._values: dict[str, bytes] = {}
         self._decoded: dict[str, tuple[bytes, Server | PublishedMalformed]] = {}
         self._malformed: dict[str, bytes] = {}
-        # Those that said so in the list that is being taken.
+        # Names of the servers that the list being applied publishes as cold.
         self._listed_cold: list[str] = []
         self._lock = threading.Lock()
 
     @property
     def malformed(self) -> int:
-        """How many entries stand now that name no server to use."""
+        """The number of published values that can't be decoded."""
         return len(self._malformed)
 
     def take(self, values: dict[str, bytes]) -> None:
-        """Take all entries by key."""
+        """Apply all published values, given by key."""
         with self._lock:
             self._values = values
-            self._take()
+            self._apply()
 
     def look_again(self) -> None:
-        """Take the entries once more where an earlier life of a server may prevail."""
+        """Apply the list again if an earlier incarnation of a server is ignored."""
         if not self._lives.settling:
             return
         with self._lock:
-            self._take()
+            self._apply()
 
-    def _take(self) -> None:
+    def _apply(self) -> None:
         before = {server.identity: server.name for server in self._servers.all}
-        left_before = _leaving(self._servers.all)
+        leaving_before = _leaving(self._servers.all)
         self._listed_cold = []
         listed = self._lives.take_list(self._decode())
         self._members.take_servers(tuple(to_leaving(server) for server in listed))
@@ -104,7 +104,7 @@
             instances=len(listed),
             added=added,
             removed=removed,
-            leaving=sorted(_leaving(listed) - left_before),
+            leaving=sorted(_leaving(listed) - leaving_before),
             cold=sorted(self._listed_cold),
             era=position.era if position else NO_ERA,
             revision=position.revision if position else 0,
@@ -114,11 +114,11 @@
     def _decode(self) -> list[Server]:
         decoded = {}
         for key, value in self._values.items():
-            known = self._decoded.get(key)
-            same = known is not None and known[0] == value
-            decoded[key] = known if same else (value, self._read(key, value))
+            cached = self._decoded.get(key)
+            unchanged = cached is not None and cached[0] == value
+            decoded[key] = cached if unchanged else (value, self._read(key, value))
         self._decoded = decoded
-        self._note_malformed()
+        self._log_malformed()
         return [s for _, s in decoded.values() if isinstance(s, Server)]
 
     def _read(self, key: str, value: bytes) -> Server | PublishedMalformed:
@@ -131,22 +131,22 @@
             self._listed_cold.append(server.name)
         return server
 
-    def _note_malformed(self) -> None:
+    def _log_malformed(self) -> None:
         malformed = {
             key: (value, read)
             for key, (value, read) in self._decoded.items()
             if isinstance(read, PublishedMalformed)
         }
-        news = [
+        new_faults = [
             f"{key}: {read.describe()}"[:FAULT_CHARACTERS]
             for key, (value, read) in malformed.items()
             if self._malformed.get(key) != value
         ]
         self._malformed = {key: value for key, (value, _) in malformed.items()}
-        if news:
+        if new_faults:
             emit(
                 Event.INSTANCES_INVALID,
-                faults=news[:LOGGED_FAULTS],
+                faults=new_faults[:LOGGED_FAULTS],
                 malformed=len(malformed),
             )
 
--- a/tests/standins/following.py
+++ b/tests/standins/following.py
@@ -9,7 +9,7 @@
 
 import random
 
-from boragestream.daemon.publication import LOST_ALONE_SECONDS
+from boragestream.daemon.publication import LOST_WATCH_SECONDS
 from boragestream.policy.confirming import Confirming
 from boragestream.policy.operator_table import OperatorTable
 from boragestream.policy.publication import Change, Changes, Position, Snapshot
@@ -232,7 +232,7 @@
     def end_unanswered(self, prefix, began):
         """Take that a call was not answered."""
         waited = self.following.waits(prefix)
-        lately = max(began, self.site.clock.now() - LOST_ALONE_SECONDS)
+        lately = max(began, self.site.clock.now() - LOST_WATCH_SECONDS)
         if waited and self.confirming.confirmed_since(prefix, lately):
             self.following.note_lost(prefix)
             return
