--- a/boragestream/daemon/background.py
+++ b/boragestream/daemon/background.py
@@ -1,11 +1,11 @@
-"""The tasks of an entry that follow the platform's document and instance list."""
+"""The background tasks that watch the platform's document and instance list."""
 
 import threading
 from functools import partial
 
 from boragestream.base.events import Event
 from boragestream.daemon.parts import EntryParts
-from boragestream.daemon.tasks import take_instances, take_published, watch_platform
+from boragestream.daemon.tasks import apply_instances, apply_published, watch_platform
 
 __all__ = ["watch_configuration", "watch_instances"]
 
@@ -13,7 +13,7 @@
 def watch_configuration(
     parts: EntryParts, stopping: threading.Event, ended: threading.Event
 ) -> None:
-    """Take published documents until the entry has ended.
+    """Apply published documents until the entry has ended.
 
     :param stopping: set once the entry begins to stop.
     """
@@ -24,7 +24,9 @@
         "/v1/document",
         platform.watch_seconds,
         partial(
-            take_published, configuration=parts.configuration, before_first=initial_sync
+            apply_published,
+            configuration=parts.configuration,
+            before_first=initial_sync,
         ),
         Event.CONFIGURATION_UNREACHABLE,
         ended,
@@ -34,14 +36,14 @@
 
 
 def watch_instances(parts: EntryParts, ended: threading.Event) -> None:
-    """Take published instance lists until the entry has ended."""
+    """Apply published instance lists until the entry has ended."""
     platform = parts.settings.platform
     watch_platform(
         platform.instances,
         "/v1/instances",
         platform.watch_seconds,
         partial(
-            take_instances,
+            apply_instances,
             servers=parts.servers,
             loads=parts.loads,
             limits=parts.limits.limits,
--- a/boragestream/daemon/background_tasks.py
+++ b/boragestream/daemon/background_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of an entry that run beside its requests, each in a thread of its own."""
+"""Runs the background tasks of an entry, each in a thread of its own."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -11,13 +11,13 @@
 
 
 class BackgroundTasks:
-    """Runs tasks, and logs the one that fails."""
+    """Runs tasks in a thread pool and logs each task that fails."""
 
     def __init__(self) -> None:
         self._threads = ThreadPoolExecutor(TASK_THREADS, "task")
 
     def start(self, task: Callable[[], object]) -> None:
-        """Run a task until it returns."""
+        """Run a task in a thread of its own until it returns."""
         self._threads.submit(_run, task)
 
 
--- a/boragestream/daemon/demand.py
+++ b/boragestream/daemon/demand.py
@@ -1,4 +1,4 @@
-"""Puts the accounts' limits, the entries' load and stage times on the exchange."""
+"""Exchanges the accounts' demand, the entries' load and stage times with peers."""
 
 import random
 from collections.abc import Iterable
@@ -20,8 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What this entry knows of the others' load and the accounts' demand.
+    """Holds the reported load of other entries and the accounts' demand.
 
+    :ivar own: this entry's name.
+    :ivar table: the latest report of each entry.
     :ivar limits: the accounts' limits at this entry.
     """
 
@@ -31,14 +33,14 @@
 
     @classmethod
     def create(cls, own: str, clock: Clock) -> "Demand":
-        """Return what an entry knows when it starts."""
+        """Return the state of an entry at its start, without any reports."""
         table = DemandTable(own, clock)
         return cls(own, table, AccountLimits(own, table, clock))
 
     def join(
         self, exchange: PeerExchange, incarnation: str, admission: Admission
     ) -> None:
-        """Let the reports ride on the exchange."""
+        """Add the parts that carry the reports to the exchange."""
         demands = self.limits.demands
 
         def load() -> float:
@@ -57,18 +59,20 @@
         data_centre: str,
         rng: random.Random,
     ) -> list[Instance]:
-        """Return the entries that an account is told to use, the first one first."""
-        usable = {entry.name: entry for entry in entries if entry.state == "live"}
+        """Return the entries recommended to an account, in order of preference."""
+        live_by_name = {entry.name: entry for entry in entries if entry.state == "live"}
         reports = self.table.fresh()
         loads = {name: report.load for name, (_, report) in reports.items()}
         loads[self.own] = own_load
-        weights = sum(other.weight for other in document.client_accounts)
-        choosable = [ChoosableEntry(e.name, e.data_centre) for e in usable.values()]
-        share = account.weight / weights
+        total_weight = sum(other.weight for other in document.client_accounts)
+        choosable = [
+            ChoosableEntry(e.name, e.data_centre) for e in live_by_name.values()
+        ]
+        share = account.weight / total_weight
         order = entry_order(account.name, share, choosable, loads, data_centre, rng)
-        return [usable[name] for name in order]
+        return [live_by_name[name] for name in order]
 
 
 def live_entries(entries: Iterable[Instance]) -> list[str]:
-    """Return the names of the entries that are listed as live."""
+    """Return the names of the entries whose state is live."""
     return [entry.name for entry in entries if entry.state == "live"]
--- a/boragestream/daemon/operator_values.py
+++ b/boragestream/daemon/operator_values.py
@@ -21,7 +21,7 @@
 from boragestream.policy.route_table import RoutesInForce
 from boragestream.policy.servers import ServerTable
 
-__all__ = ["OperatorValues", "take_route_text"]
+__all__ = ["OperatorValues", "offer_route_text"]
 
 
 class OperatorValues:
@@ -90,7 +90,7 @@
         self._changed()
 
 
-def take_route_text(
+def offer_route_text(
     routes: RoutesInForce, text: bytes, source: str, position: Position | None
 ) -> bool:
     """Offer a published configuration; return False if it can't be decoded.
--- a/boragestream/daemon/publication.py
+++ b/boragestream/daemon/publication.py
@@ -65,7 +65,8 @@
     :ivar before_answer: called for each answer of the store, before it is applied.
     :ivar gap_seconds: how long to wait after a change, so that the changes that follow
         arrive in one answer; the wait doubles while changes keep coming.
-    :ivar on_answer: called after each answer, even if nothing has changed.
+    :ivar on_answer: called after each answer or relayed message, even if nothing has
+        changed.
     :ivar on_failure: called each time that the store gives no answer.
     """
 
--- a/boragestream/daemon/publications.py
+++ b/boragestream/daemon/publications.py
@@ -38,10 +38,10 @@
     is_watcher,
 )
 
-__all__ = ["AWAITED", "Publications", "make_publications"]
+__all__ = ["AWAITED_KEYS", "Publications", "make_publications"]
 
 # The entry needs the first answer for each of these before it can serve requests.
-AWAITED = (CONFIGURATION_KEY, SERVERS_PREFIX)
+AWAITED_KEYS = (CONFIGURATION_KEY, SERVERS_PREFIX)
 # The number of changes of servers that are kept for entries that are behind. It covers
 # some minutes of a rolling release of thousands of servers and takes half a megabyte.
 MAX_KEPT_CHANGES = 2048
--- a/boragestream/daemon/route_parts.py
+++ b/boragestream/daemon/route_parts.py
@@ -1,6 +1,6 @@
-"""What an entry that forwards calls consists of, built once from its settings.
+"""Builds the objects of an entry that forwards calls, from its settings.
 
-Building starts nothing and opens no listener: ``daemon.route_entry`` does both.
+Building starts no task and opens no listener; ``daemon.route_entry`` does both.
 """
 
 import itertools
@@ -17,10 +17,10 @@
 from boragestream.base.route_metrics import RouteMetrics
 from boragestream.base.route_settings import RouteSettings
 from boragestream.daemon.limits import JoinedLimits, join_limits
-from boragestream.daemon.operator_values import OperatorValues, take_route_text
+from boragestream.daemon.operator_values import OperatorValues, offer_route_text
 from boragestream.daemon.peers import join_quarantine
 from boragestream.daemon.publications import (
-    AWAITED,
+    AWAITED_KEYS,
     Publications,
     make_publications,
 )
@@ -77,29 +77,31 @@
 
 __all__ = ["RouteParts", "make_route_parts"]
 
-# What entries send one another is meant for this deployment alone.
+# Names the deployment in messages between entries, so that an entry refuses messages
+# of another deployment.
 DEPLOYMENT = "routes"
 CONNECT_SECONDS = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class RouteParts:
-    """The parts of one entry.
+    """The objects of one entry.
 
-    :ivar incarnation: this life of the entry.
+    :ivar incarnation: identifies this run of the entry's process.
     :ivar book: the addresses of the other entries.
-    :ivar address_sync: finds where the books of other entries differ.
-    :ivar members: how the other entries are.
-    :ivar cold: which servers have just started.
-    :ivar limits: which servers have a limit on their requests.
-    :ivar quarantine: which requests crash servers.
-    :ivar quarantine_part: passes them on to other entries.
-    :ivar published_servers: takes the published entries of servers.
-    :ivar publications: what is followed of the platform's store.
+    :ivar address_sync: finds differences from the address books of other entries.
+    :ivar members: the state of the other entries.
+    :ivar cold: the servers that have just started.
+    :ivar limits: the servers that have a limit on their requests.
+    :ivar quarantine: the requests that crash servers.
+    :ivar quarantine_part: sends the quarantined requests to other entries.
+    :ivar published_servers: applies the published list of servers.
+    :ivar publications: the values of the platform's store that the entry follows.
     :ivar ended: set once the entry has ended.
-    :ivar first: whether the first answers of the platform are still awaited.
-    :ivar orders: the pieces of this entry's requests.
-    :ivar bookings: places in queues for what this entry's requests will order.
+    :ivar first: tells whether the first answers of the platform are still missing.
+    :ivar orders: the orders for pieces of this entry's requests.
+    :ivar bookings: the bookings of queue positions for later orders of this entry's
+        requests.
     :ivar batches: the queues of pieces that this entry owns.
     """
 
@@ -131,7 +133,7 @@
 
     @property
     def handlers(self) -> dict[type, Handler]:
-        """What answers the messages of other entries."""
+        """The handlers for messages of other entries, by the type of the message."""
         return {
             **self.members.handlers,
             **self.limits.handlers,
@@ -152,7 +154,7 @@
 
 
 def make_route_parts(in_force: SettingsInForce, clock: Clock) -> RouteParts:
-    """Build the parts of an entry; nothing runs yet."""
+    """Build the objects of an entry without starting any."""
     settings = in_force.current
     rng = random.Random()
     own = settings.listen.peer_name
@@ -164,24 +166,27 @@
     watchdog = Watchdog(clock)
     metrics = RouteMetrics()
 
-    # Peers need the table of servers first; it is not called before all parts stand.
-    def tell_leaving(server: Server) -> None:
+    # These functions refer to objects that are built below, and nothing calls them
+    # before all objects are built.
+    def announce_leaving(server: Server) -> None:
         members.tell_leaving(to_leaving(server))
 
-    def server_left(server: LeavingServer) -> None:
+    def note_server_leaving(server: LeavingServer) -> None:
         servers.take_notice((server.name, server.host, server.incarnation))
 
-    drains = settings.store.draining_ms is not None
-    servers = ServerTable(tell_leaving, awaits_orders=drains)
-    centre = settings.entry.data_centre
-    members = EntryPeers(own, incarnation, centre, links, server_left, clock, rng)
+    drains_centres = settings.store.draining_ms is not None
+    servers = ServerTable(announce_leaving, awaits_orders=drains_centres)
+    data_centre = settings.entry.data_centre
+    members = EntryPeers(
+        own, incarnation, data_centre, links, note_server_leaving, clock, rng
+    )
     capacity = settings.resources.capacity
     callers = settings.listen.callers
-    listed = ListedEntry(own, callers, own, centre, capacity=capacity)
+    listed = ListedEntry(own, callers, own, data_centre, capacity=capacity)
     book = AddressBook(listed, rng, members.take_entries)
     relay = ConfigurationRelay(
         routes,
-        lambda text, source: take_route_text(routes, text, source, None),
+        lambda text, source: offer_route_text(routes, text, source, None),
         links,
         members.address,
         members.exchange.submit,
@@ -193,9 +198,11 @@
     members.exchange.add_part(sync)
     routes.when_taken(lambda table: members.exchange.hurry())
 
-    def live() -> Sequence[str]:
-        others = [e for e in members.entries.usable() if e.host and e.name != own]
-        return able_entries([*others, listed])
+    def eligible() -> Sequence[str]:
+        other_entries = [
+            e for e in members.entries.usable() if e.host and e.name != own
+        ]
+        return able_entries([*other_entries, listed])
 
     def retry_bounds() -> RetryBounds:
         bounds = in_force.current.retries
@@ -205,20 +212,20 @@
     connections = ConnectionKeeper(CONNECT_SECONDS)
     servers.when_unused(connections.forget)
 
-    def published(service: str) -> RouteService | None:
+    def service_definition(service: str) -> RouteService | None:
         table = routes.current
         return table.services.get(service) if table is not None else None
 
-    def most_idle(service: str) -> int:
-        known = published(service)
+    def max_idle(service: str) -> int:
+        definition = service_definition(service)
         count = len(book.entries)
-        return idle_connections(known.max_connections, count) if known else 0
+        return idle_connections(definition.max_connections, count) if definition else 0
 
     backoffs = ServerBackoffs(clock)
 
     def piece_limits(service: str) -> PieceLimits | None:
-        known = published(service)
-        return known.pieces if known is not None else None
+        definition = service_definition(service)
+        return definition.pieces if definition is not None else None
 
     def granted_by(server: Server) -> str:
         # Only the owner of a stage's queue calls its servers.
@@ -229,39 +236,41 @@
         own,
         members,
         links,
-        live,
+        eligible,
         granted_by,
         lambda: sync.agreed,
         clock,
         rng,
         metrics.permit_ended,
     )
-    note_head = response_hints(servers, backoffs, limits.limits)
-    line = CallLine(read_answer_head, connections, clock, most_idle, note_head)
+    apply_response_hints = response_hints(servers, backoffs, limits.limits)
+    line = CallLine(
+        read_answer_head, connections, clock, max_idle, apply_response_hints
+    )
 
     def cold_bound(service: str) -> ColdBound | None:
-        known, cold = published(service), in_force.current.cold
-        if known is None or cold is None or known.cold_rate <= 0:
+        definition, cold = service_definition(service), in_force.current.cold
+        if definition is None or cold is None or definition.cold_rate <= 0:
             return None
-        most = known.cold_rate * cold.factor + cold.slack
-        return ColdBound(known.cold_rate, most, known.cold_seconds)
+        max_per_second = definition.cold_rate * cold.factor + cold.slack
+        return ColdBound(definition.cold_rate, max_per_second, definition.cold_seconds)
 
     def cold_senders(server: Server) -> list[str]:
         if piece_limits(server.service) is not None:
             # Only the owner of a stage's queue calls its servers.
-            return owner_order(server.service, live())
+            return owner_order(server.service, eligible())
         usable = {entry.name for entry in members.entries.usable() if entry.host}
         return senders(server, usable | {own})
 
     cold = ColdServers(own, cold_bound, cold_senders, lambda: sync.agreed, clock)
 
-    # Orders come once the entry listens, when all parts stand.
-    def used() -> None:
+    # Orders arrive only once the entry listens, when all objects are built.
+    def record_use() -> None:
         publications.confirming.note_use()
 
-    first = FirstKnowledge(clock, AWAITED)
+    first = FirstKnowledge(clock, AWAITED_KEYS)
     ended = threading.Event()
-    owners = OwnerLinks(own, live, links, clock)
+    owners = OwnerLinks(own, eligible, links, clock)
     orders = PieceOrders(owners, clock)
     batch_parts = BatchParts(
         line=line,
@@ -277,7 +286,7 @@
         clock=clock,
         metrics=metrics,
         limits=piece_limits,
-        used=used,
+        used=record_use,
     )
     batches = PieceBatches(batch_parts, orders.done)
     orders.join(batches)
@@ -295,7 +304,7 @@
         lambda: publications.servers.table.position,
     )
     operator_values = OperatorValues(
-        lambda text: take_route_text(
+        lambda text: offer_route_text(
             routes, text, "platform", publications.operators.table.position
         ),
         servers,
@@ -305,7 +314,7 @@
     )
     publications = make_publications(
         settings.store,
-        centre,
+        data_centre,
         own,
         members,
         links,
@@ -328,7 +337,7 @@
             limited=limits.limited,
             quarantine=quarantine,
             loads=loads,
-            choice=ServerChoice(loads, clock, centre),
+            choice=ServerChoice(loads, clock, data_centre),
             retries=retries,
             stages=StagePieces(
                 orders,
--- a/boragestream/daemon/settings_in_force.py
+++ b/boragestream/daemon/settings_in_force.py
@@ -1,7 +1,7 @@
-"""The settings in force: read at the start, and again when the file has changed.
+"""The settings in force, read at the start and again when the file has changed.
 
-What is bound to a process for its life, such as its addresses, changes with the next
-start alone; a file that can't be used changes nothing.
+Settings that a process can't change while it runs, such as its addresses, take effect
+at the next start. A file that is invalid changes nothing.
 """
 
 import threading
@@ -22,15 +22,15 @@
 class SettingsInForce:
     """Holds the settings in force.
 
-    :param path: the TOML file.
-    :param settings: as read at the start.
+    :param path: the path of the TOML file.
+    :param settings: the settings that were read at the start.
     """
 
     def __init__(self, path: Path, settings: RouteSettings) -> None:
         self._path = path
         self._current = settings
         self._refused: SettingsInvalid | None = None
-        self._changed: list[Callable[[RouteSettings], None]] = []
+        self._listeners: list[Callable[[RouteSettings], None]] = []
         self._lock = threading.Lock()
 
     @property
@@ -38,16 +38,16 @@
         """The settings in force."""
         return self._current
 
-    def when_changed(self, changed: Callable[[RouteSettings], None]) -> None:
-        """Have a function called with each change of what can change."""
-        self._changed.append(changed)
+    def when_changed(self, listener: Callable[[RouteSettings], None]) -> None:
+        """Register a function to call with the new settings after each change."""
+        self._listeners.append(listener)
 
     def reload(self) -> None:
-        """Read the file again and take what can change."""
+        """Read the file again and apply the settings that can change at run time."""
         with self._lock:
             read = read_route_settings(self._path)
             if isinstance(read, SettingsInvalid):
-                self._refuse(read)
+                self._log_refused(read)
                 return
             self._refused = None
             new = replace(
@@ -61,10 +61,10 @@
             needs_restart = replace(new, resources=read.resources) != read
             self._current = new
         emit(Event.SETTINGS_RELOADED, needs_restart=needs_restart)
-        for changed in self._changed:
-            changed(new)
+        for listener in self._listeners:
+            listener(new)
 
-    def _refuse(self, read: SettingsInvalid) -> None:
+    def _log_refused(self, read: SettingsInvalid) -> None:
         if read != self._refused:
             emit(Event.SETTINGS_REFUSED, failure=read.describe())
         self._refused = read
--- a/boragestream/daemon/tasks.py
+++ b/boragestream/daemon/tasks.py
@@ -1,6 +1,6 @@
-"""The tasks that read the platform: one for each of its services.
+"""Reads values from the services of the platform and applies them.
 
-Each is a loop written straight down, run by one thread until the entry stops.
+Each service is watched by one loop, which one thread runs until the entry stops.
 """
 
 import random
@@ -21,12 +21,12 @@
 from boragestream.policy.servers import Server, ServerState, ServerTable
 
 __all__ = [
-    "Duty",
+    "WatchSchedule",
+    "apply_instances",
+    "apply_published",
     "take_document",
-    "take_instances",
-    "take_published",
     "to_leaving",
-    "to_listed",
+    "to_listed_entry",
     "to_server",
     "watch_platform",
 ]
@@ -42,29 +42,29 @@
 }
 
 
-class Duty(Protocol):
-    """Says when this entry watches a value and when it only reads it now and then."""
+class WatchSchedule(Protocol):
+    """Decides whether this entry watches a value or reads it at intervals."""
 
     def watches(self) -> bool:
-        """Return whether to watch now."""
+        """Return whether this entry watches the value now."""
 
     def read_gap_seconds(self) -> float:
-        """Return how long to wait between two reads while not watching."""
+        """Return the seconds between two reads while this entry does not watch."""
 
 
-class Always:
-    """Has a value watched without a break."""
+class AlwaysWatch:
+    """Has the value watched all the time."""
 
     def watches(self) -> bool:
-        """Return whether to watch now."""
+        """Return whether this entry watches the value now."""
         return True
 
     def read_gap_seconds(self) -> float:
-        """Return how long to wait between two reads while not watching."""
+        """Return the seconds between two reads while this entry does not watch."""
         return RETRY_SECONDS
 
 
-ALWAYS = Always()
+ALWAYS_WATCH = AlwaysWatch()
 
 
 def watch_platform(
@@ -75,49 +75,53 @@
     unreachable: Event,
     stopping: threading.Event,
     rng: random.Random,
-    duty: Duty = ALWAYS,
+    schedule: WatchSchedule = ALWAYS_WATCH,
 ) -> None:
-    """Watch one value of the platform until the entry stops.
+    """Watch or read one value of the platform until the entry stops.
 
     :param address: ``address:port`` of the service.
     :param path: the value's path.
-    :param take: takes each value that is new.
-    :param unreachable: the event to log where the service gives no answer.
-    :param duty: when to watch and when to read now and then.
+    :param take: called with each new value.
+    :param unreachable: the event to log if the service gives no answer.
+    :param schedule: decides when to watch the value and when to read it at intervals.
     """
-    known = Reading(0, b"")
+    latest = Reading(0, b"")
     digest = ""
     while not stopping.is_set():
-        wait = wait_seconds if duty.watches() else 0.0
-        reading = read_platform(address, path, known.index, wait, known.era)
+        wait = wait_seconds if schedule.watches() else 0.0
+        reading = read_platform(address, path, latest.index, wait, latest.era)
         if isinstance(reading, PlatformUnreachable):
             emit(unreachable, failure=reading.describe())
-            # It may come back from a copy without saying so, in which the index that
-            # is known stands for another value.
-            known = Reading(0, b"")
+            # The service may be restored from a copy without a sign of it, and the
+            # last index may then belong to another value.
+            latest = Reading(0, b"")
             stopping.wait(RETRY_SECONDS * (0.5 + rng.random()))
-        elif (reading.era, reading.index) != (known.era, known.index):
-            known = Reading(reading.index, b"", reading.era)
-            before, digest = digest, text_digest(reading.value)
-            if digest != before:
+        elif (reading.era, reading.index) != (latest.era, latest.index):
+            latest = Reading(reading.index, b"", reading.era)
+            previous, digest = digest, text_digest(reading.value)
+            if digest != previous:
                 take(reading.value)
-        _wait_for_duty(duty, stopping)
+        _wait_until_due(schedule, stopping)
 
 
-def _wait_for_duty(duty: Duty, stopping: threading.Event) -> None:
-    left = 0.0 if duty.watches() else duty.read_gap_seconds()
-    while left > 0 and not duty.watches() and not stopping.wait(ROLE_CHECK_SECONDS):
-        left -= ROLE_CHECK_SECONDS
+def _wait_until_due(schedule: WatchSchedule, stopping: threading.Event) -> None:
+    remaining = 0.0 if schedule.watches() else schedule.read_gap_seconds()
+    while (
+        remaining > 0
+        and not schedule.watches()
+        and not stopping.wait(ROLE_CHECK_SECONDS)
+    ):
+        remaining -= ROLE_CHECK_SECONDS
 
 
 def take_document(
     value: bytes, configuration: ConfigurationInForce, source: str
 ) -> Offer | None:
-    """Check a published document and offer it; None where it is invalid."""
+    """Check a published document and offer it; return None if it is invalid."""
     document, faults = parse_document(value)
     if document is None:
-        described = [fault.describe() for fault in faults]
-        emit(Event.CONFIGURATION_INVALID, source=source, faults=described)
+        fault_texts = [fault.describe() for fault in faults]
+        emit(Event.CONFIGURATION_INVALID, source=source, faults=fault_texts)
         return None
     offer = configuration.offer(document, canonical_text(value))
     event = OFFER_EVENTS.get(offer)
@@ -126,21 +130,21 @@
     return offer
 
 
-def take_published(
+def apply_published(
     value: bytes,
     configuration: ConfigurationInForce,
     before_first: Callable[[], None],
 ) -> None:
-    """Take what the configuration service published.
+    """Apply a document from the configuration service.
 
-    :param before_first: called before the first document is taken.
+    :param before_first: called before the first document is applied.
     """
     if configuration.current is None:
         before_first()
     take_document(value, configuration, source="platform")
 
 
-def take_instances(
+def apply_instances(
     value: bytes,
     servers: ServerTable,
     loads: LoadTable,
@@ -148,11 +152,11 @@
     take_entries: Callable[[tuple[Instance, ...]], None],
     take_servers: Callable[[tuple[LeavingServer, ...]], None],
 ) -> None:
-    """Check a published instance list and take it."""
+    """Check a published instance list and apply it."""
     instances, faults = parse_instances(value)
     if instances is None:
-        described = [fault.describe() for fault in faults]
-        emit(Event.INSTANCES_INVALID, faults=described)
+        fault_texts = [fault.describe() for fault in faults]
+        emit(Event.INSTANCES_INVALID, faults=fault_texts)
         return
     backends = [i for i in instances if i.service != ENTRY_SERVICE]
     take_servers(tuple(to_leaving(to_server(i)) for i in backends))
@@ -165,7 +169,7 @@
 
 
 def to_server(instance: Instance) -> Server:
-    """Return a listed instance as the decisions know it."""
+    """Return a listed instance as the policy's server record."""
     return Server(
         name=instance.name,
         service=instance.service,
@@ -178,12 +182,12 @@
 
 
 def to_leaving(server: Server) -> LeavingServer:
-    """Return a server as the entries name it to one another when it leaves."""
+    """Return the notice that entries send one another when a server leaves."""
     return LeavingServer(server.name, server.host, server.incarnation)
 
 
-def to_listed(instance: Instance) -> ListedEntry:
-    """Return a listed entry as the decisions know it."""
+def to_listed_entry(instance: Instance) -> ListedEntry:
+    """Return a listed entry as the policy's entry record."""
     return ListedEntry(
         name=instance.name,
         host=instance.host,
--- a/tests/features/steps/lost_questions.py
+++ b/tests/features/steps/lost_questions.py
@@ -11,7 +11,7 @@
 from boragestream.base.events import Event
 from boragestream.base.route_settings import StoreSettings
 from boragestream.daemon.publication import Publication
-from boragestream.daemon.publications import AWAITED, make_publications
+from boragestream.daemon.publications import AWAITED_KEYS, make_publications
 from boragestream.entry.links import PeerLinks
 from boragestream.entry.messages import Sender
 from boragestream.entry.peers import EntryPeers
@@ -279,7 +279,7 @@
             RoutesInForce(),
             lambda values: None,
             lambda values: self.taken.append(sorted(values)),
-            FirstKnowledge(clock, AWAITED),
+            FirstKnowledge(clock, AWAITED_KEYS),
             self.stopping,
             clock,
             rng,
