--- a/boragestream/entry/demand.py
+++ b/boragestream/entry/demand.py
@@ -1,8 +1,8 @@
-"""Load and account demand on the exchange between entries.
+"""Distributes reports of load and account demand through the exchange of entries.
 
-Each message carries the sender's own report and, as room allows, the youngest reports
-of others that it has not passed on yet in this turn. What the reports mean is left to
-``policy.demand`` and its users.
+Each message carries the sender's own report. As far as there is room, it also carries
+reports of other entries: first those that the sender has not forwarded yet, the most
+recent ones first. ``policy.demand`` and its users interpret the reports.
 """
 
 import itertools
@@ -24,11 +24,12 @@
 
 
 class PackedReport(msgspec.Struct, frozen=True, array_like=True):
-    """A report on the wire.
+    """An entry's report in its form on the wire.
 
-    :ivar age_ms: how old it is.
-    :ivar load: in hundredths.
-    :ivar accounts: key, rate and held rate in hundredths, slots and held slots.
+    :ivar age_ms: the age of the report.
+    :ivar load: the load in hundredths.
+    :ivar accounts: for each account its key, its rate and held rate in hundredths, its
+        slots and its held slots.
     """
 
     age_ms: int
@@ -48,8 +49,8 @@
 
     :param own: this entry's name.
     :param table: the reports of the other entries.
-    :param demands: returns this entry's own demand by account key.
-    :param load: returns this entry's own load.
+    :param demands: returns this entry's demand by account key.
+    :param load: returns this entry's load.
     """
 
     name = "d"
@@ -68,11 +69,11 @@
         self._demands = demands
         self._load = load
         self._sequence = itertools.count(1)
-        self._passed_on: dict[str, int] = {}
+        self._forwarded: dict[str, int] = {}
         self._lock = threading.Lock()
 
     def offer(self, budget: int) -> bytes:
-        """Return the own report and as many of the others' as there is room for."""
+        """Return this entry's report and as many reports of others as fit."""
         accounts = self._demands()
         busiest = sorted(accounts, key=lambda key: -accounts[key].rate)[:MAX_ACCOUNTS]
         own = EntryReport(
@@ -87,17 +88,17 @@
         if left < 0:
             return b""
         with self._lock:
-            for age, report in self._by_turn():
-                one = _pack(report, age)
-                size = len(_encoder.encode(one))
+            for age, report in self._in_forwarding_order():
+                packed_report = _pack(report, age)
+                size = len(_encoder.encode(packed_report))
                 if size <= left:
-                    packed.append(one)
+                    packed.append(packed_report)
                     left -= size
-                    self._passed_on[report.entry] = report.sequence
+                    self._forwarded[report.entry] = report.sequence
         return _encoder.encode(packed)
 
     def take(self, sender: str, data: bytes) -> None:
-        """Take the reports that a peer offered."""
+        """Add the reports that a peer offered to the table."""
         try:
             reports = _decoder.decode(data)
         except msgspec.DecodeError as error:
@@ -106,13 +107,13 @@
         for packed in reports:
             self._table.take(_unpack(packed), packed.age_ms / 1000)
 
-    def _by_turn(self) -> list[tuple[float, EntryReport]]:
-        """Return the others' reports: those not passed on yet first, youngest first."""
-        fresh = self._table.fresh()
+    def _in_forwarding_order(self) -> list[tuple[float, EntryReport]]:
+        """Return the others' reports, unforwarded ones first, then by age."""
+        reports = self._table.fresh()
         return sorted(
-            fresh.values(),
+            reports.values(),
             key=lambda aged: (
-                self._passed_on.get(aged[1].entry) == aged[1].sequence,
+                self._forwarded.get(aged[1].entry) == aged[1].sequence,
                 aged[0],
             ),
         )
--- a/boragestream/entry/forwarding.py
+++ b/boragestream/entry/forwarding.py
@@ -1,9 +1,9 @@
-"""Forwards a call under a ticket to the entry that issued it.
+"""Forwards a call under a ticket to the entry that issued the ticket.
 
-The issuer answers each message at once, so that no task of its listener waits for a
-run; the forwarding entry asks again until the call has ended. Where an answer stays
-away nobody can tell whether the call runs, so that every such failure means
-"unknown". The issuer's side is left to ``caller.ticket_runs``.
+The issuer answers each message at once, so that no task of its listener waits for a run
+to end; the forwarding entry polls until the call has ended. If an answer is missing, it
+is not known whether the call runs, so every such failure means "unknown".
+``caller.ticket_runs`` implements the issuer's side.
 """
 
 import time
@@ -17,10 +17,10 @@
 
 __all__ = ["Forwarder", "IssuerGone", "IssuerUnreachable"]
 
-ACKNOWLEDGE_SECONDS = 1.0
-FIRST_PAUSE_SECONDS = 0.005
-LONGEST_PAUSE_SECONDS = 0.1
-PAUSE_GROWTH = 1.5
+REPLY_TIMEOUT_SECONDS = 1.0
+MIN_POLL_INTERVAL_SECONDS = 0.005
+MAX_POLL_INTERVAL_SECONDS = 0.1
+POLL_INTERVAL_GROWTH = 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Forwarder:
-    """Forwards to other entries.
+    """Forwards calls and state queries to other entries.
 
-    :ivar find_peer: returns an entry's peer address by its name, None where no such
-        entry is known.
+    :ivar find_peer: returns an entry's peer address, given its name; None if the entry
+        is unknown.
     """
 
     links: PeerLinks
@@ -59,31 +59,31 @@
     def post(
         self, issuer: str, message: TicketPost, deadline: float
     ) -> CallState | IssuerGone | IssuerUnreachable:
-        """Have the issuer run a call and wait for its end.
+        """Have the issuer run a call, and wait until the call ends.
 
-        :param deadline: the clock's seconds after which the state is returned as it
-            is, in progress or not.
+        :param deadline: the clock time in seconds after which the last known state is
+            returned, even if the call is in progress.
         """
         state = self.ask(issuer, message)
-        question = TicketAsk(message.ticket, message.account, message.request_id)
-        pause = FIRST_PAUSE_SECONDS
+        query = TicketAsk(message.ticket, message.account, message.request_id)
+        interval = MIN_POLL_INTERVAL_SECONDS
         while isinstance(state, CallState) and not state.outcome:
             left = deadline - self.clock.now()
             if left <= 0:
                 break
-            time.sleep(min(pause, left))
-            pause = min(pause * PAUSE_GROWTH, LONGEST_PAUSE_SECONDS)
-            state = self.ask(issuer, question)
+            time.sleep(min(interval, left))
+            interval = min(interval * POLL_INTERVAL_GROWTH, MAX_POLL_INTERVAL_SECONDS)
+            state = self.ask(issuer, query)
         return state
 
     def ask(
         self, issuer: str, message: TicketPost | TicketAsk | RequestAsk
     ) -> CallState | IssuerGone | IssuerUnreachable:
-        """Send one message to an entry and return what it says."""
+        """Send a message to an entry and return the call's state or a failure."""
         address = self.find_peer(issuer)
         if address is None:
             return IssuerUnreachable(issuer, "it is not listed")
-        answer = self.links.ask(address, message, ACKNOWLEDGE_SECONDS)
+        answer = self.links.ask(address, message, REPLY_TIMEOUT_SECONDS)
         if isinstance(answer, CallState):
             return answer
         if isinstance(answer, PeerRejected) and answer.code == IssuerGone("").code:
--- a/boragestream/entry/links.py
+++ b/boragestream/entry/links.py
@@ -1,7 +1,7 @@
 """Request and reply between entries over pynng.
 
-A link only carries messages: whom to ask, how often, and what to make of an answer is
-left to its users. nng never sends a request again by itself here.
+This module only transports messages. Its users decide which peer to call, how often,
+and how to handle an answer. nng's automatic resending of requests is switched off.
 """
 
 import contextlib
@@ -38,12 +38,12 @@
 Handler = Callable[[Envelope, Message], Message]
 
 LISTENER_TASKS = 8
-# Sockets to one peer that are kept open; one that failed is never kept.
-IDLE_SOCKETS = 2
-NEVER_MS = -1
+# The most idle sockets kept open to one peer. A socket that failed is never kept.
+MAX_IDLE_SOCKETS = 2
+NO_RESEND_MS = -1
 RECONNECT_MIN_MS = 50
-# Idle sockets to a region that is out of reach must not dial all the time; a question
-# that fails closes its socket, so that the next one dials at once.
+# Limits how often idle sockets redial a region that is unreachable. A request that
+# fails closes its socket, so that the next request dials at once.
 RECONNECT_MAX_MS = 10_000
 
 
@@ -51,7 +51,8 @@
 class PeerUnreachable(Failure):
     """A peer gave no answer.
 
-    :ivar address: its peer address.
+    :ivar address: the peer's address.
+    :ivar reason: the class name of nng's exception.
     """
 
     address: str
@@ -62,7 +63,8 @@
 class PeerRejected(Failure):
     """A peer answered that it did not take the message.
 
-    :ivar code: the code of its failure.
+    :ivar address: the peer's address.
+    :ivar code: the code of the peer's failure.
     """
 
     address: str
@@ -74,13 +76,13 @@
 
 
 class PeerLinks:
-    """Sockets to other entries, one for each question that is open at a time.
+    """A pool of sockets to other entries, one socket for each request in progress.
 
-    pynng's contexts would let one socket carry several questions, but do not heed their
-    timeouts (0.9.0): a question to a silent peer would never end.
+    pynng's contexts would let one socket carry several requests, but they ignore their
+    timeouts (pynng 0.9.0): a request to a silent peer would never end.
 
-    :param sender: who this entry is.
-    :param tls: None for links in clear.
+    :param sender: this entry's identity.
+    :param tls: the TLS configuration; None for unencrypted connections.
     """
 
     def __init__(self, sender: Sender, tls: PeerTls | None = None) -> None:
@@ -95,18 +97,18 @@
         """Send a message to a peer and wait for its answer.
 
         :param address: the peer's ``address:port``.
-        :param seconds: the longest to wait.
+        :param seconds: the timeout.
         """
         frame = seal(self._sender, message)
-        sock = self._take(address)
+        sock = self._acquire(address)
         try:
-            answer = _ask(sock, frame, seconds)
+            answer = _request(sock, frame, seconds)
         except pynng.NNGException as error:
-            # A late answer must not meet the next question, and a new connection
-            # finds its way where an old one leads into a partition.
+            # A late answer must not be read by the next request, and a new connection
+            # can succeed where the old one is cut off by a network partition.
             sock.close()
             return PeerUnreachable(address, type(error).__name__)
-        self._keep(address, sock)
+        self._release(address, sock)
         opened = open_envelope(self._sender, answer)
         if isinstance(opened, MessageRefused):
             return opened
@@ -115,7 +117,7 @@
         return opened[1]
 
     def forget(self, address: str) -> None:
-        """Close the sockets to a peer that is gone."""
+        """Close the idle sockets to a peer that has left."""
         with self._lock:
             socks = self._idle.pop(address, [])
         for sock in socks:
@@ -126,13 +128,13 @@
         for address in list(self._idle):
             self.forget(address)
 
-    def _take(self, address: str) -> pynng.Req0:
+    def _acquire(self, address: str) -> pynng.Req0:
         with self._lock:
             idle = self._idle.get(address)
             if idle:
                 return idle.pop()
         sock = pynng.Req0(
-            resend_time=NEVER_MS,
+            resend_time=NO_RESEND_MS,
             reconnect_time_min=RECONNECT_MIN_MS,
             reconnect_time_max=RECONNECT_MAX_MS,
             recv_max_size=MAX_MESSAGE_BYTES,
@@ -141,20 +143,20 @@
         sock.dial(_url(address, self._tls), block=False)
         return sock
 
-    def _keep(self, address: str, sock: pynng.Req0) -> None:
+    def _release(self, address: str, sock: pynng.Req0) -> None:
         with self._lock:
             idle = self._idle.setdefault(address, [])
-            if len(idle) < IDLE_SOCKETS:
+            if len(idle) < MAX_IDLE_SOCKETS:
                 idle.append(sock)
                 return
         sock.close()
 
 
-def _ask(sock: pynng.Req0, frame: bytes, seconds: float) -> bytes:
-    began = time.monotonic()
+def _request(sock: pynng.Req0, frame: bytes, seconds: float) -> bytes:
+    started_at = time.monotonic()
     sock.send_timeout = _milliseconds(seconds)
     sock.send(frame)
-    sock.recv_timeout = _milliseconds(seconds - (time.monotonic() - began))
+    sock.recv_timeout = _milliseconds(seconds - (time.monotonic() - started_at))
     return sock.recv()
 
 
@@ -165,10 +167,10 @@
 class PeerListener:
     """Answers the messages of other entries.
 
-    :param sender: who this entry is.
-    :param address: ``address:port`` to listen on.
-    :param handlers: what answers each type of message.
-    :param tls: None for links in clear.
+    :param sender: this entry's identity.
+    :param address: the ``address:port`` to listen on.
+    :param handlers: the handler for each type of message.
+    :param tls: the TLS configuration; None for unencrypted connections.
     """
 
     def __init__(
@@ -187,8 +189,8 @@
         self._socket.listen(_url(address, tls))
 
     def run(self) -> None:
-        """Answer one message after the other until ``close``; one task of several."""
-        # The context of a closed socket can't be closed again.
+        """Answer messages one at a time until ``close``; several tasks run this."""
+        # Closing the context of a socket that is already closed raises ``Closed``.
         with contextlib.suppress(pynng.Closed), self._socket.new_context() as context:
             while True:
                 try:
@@ -201,7 +203,7 @@
                 self._reply(context, self._answer(frame))
 
     def close(self) -> None:
-        """Stop listening; every ``run`` returns."""
+        """Stop listening and make every ``run`` return."""
         self._socket.close()
 
     def _answer(self, frame: bytes) -> Message:
--- a/boragestream/entry/open_questions.py
+++ b/boragestream/entry/open_questions.py
@@ -1,19 +1,19 @@
-"""Which peers are being asked: each one once, and only so many at a time.
+"""Limits the requests in progress to peers: one for each peer and a few in total.
 
-News comes from several peers at once, and one answer is enough. What is asked, and how
-long an answer may take, is left to the parts of the exchange.
+Several peers may offer the same new records at once, and one reply is enough. The parts
+of the exchange decide what is requested and how long a reply may take.
 """
 
 import threading
 
 __all__ = ["OpenQuestions"]
 
-# One question may hang on a peer that was paused; another peer is asked beside it.
-QUESTIONS_AT_ONCE = 2
+# A request to a suspended peer may hang; a second peer can be asked meanwhile.
+MAX_OPEN_REQUESTS = 2
 
 
 class OpenQuestions:
-    """The questions of one kind that are open; any thread may use it."""
+    """The peers to which a request of one kind is in progress; thread-safe."""
 
     def __init__(self) -> None:
         self._peers: set[str] = set()
@@ -23,14 +23,14 @@
         return bool(self._peers)
 
     def begin(self, peer: str) -> bool:
-        """Note a question that begins; False where none may begin now."""
+        """Record the start of a request; return False if none may start now."""
         with self._lock:
-            if peer in self._peers or len(self._peers) >= QUESTIONS_AT_ONCE:
+            if peer in self._peers or len(self._peers) >= MAX_OPEN_REQUESTS:
                 return False
             self._peers.add(peer)
             return True
 
     def end(self, peer: str) -> None:
-        """Note that a question has ended."""
+        """Record the end of a request."""
         with self._lock:
             self._peers.discard(peer)
--- a/boragestream/entry/owner_questions.py
+++ b/boragestream/entry/owner_questions.py
@@ -1,7 +1,7 @@
-"""Questions to entries that do something for all others, such as owning a queue.
+"""Sends requests to entries that serve all others, such as the owner of a queue.
 
-An entry that gives no answer is passed over for a while, so that not every question
-waits for it. Who is asked instead is left to the user.
+An entry that gives no answer is skipped for a short time, so that not every request
+waits for its time-out. The caller decides which entry to use instead.
 """
 
 from typing import TypeVar
@@ -14,36 +14,37 @@
 
 __all__ = ["OwnerQuestions"]
 
-# An entry that is there answers at once.
-ASK_SECONDS = 0.3
-PASSED_OVER_SECONDS = 2.0
+# A live entry answers at once.
+REPLY_TIMEOUT_SECONDS = 0.3
+SKIP_SECONDS = 2.0
 
 Reply = TypeVar("Reply")
 
 
 class OwnerQuestions:
-    """The entries that were asked, as this entry sees them."""
+    """Sends requests to other entries and remembers which gave no answer."""
 
     def __init__(self, links: PeerLinks, clock: Clock) -> None:
         self._links = links
         self._clock = clock
-        self._passed_over: dict[str, float] = {}
+        self._skipped_until: dict[str, float] = {}
 
     def is_passed_over(self, entry: str) -> bool:
-        """Tell whether an entry was silent a moment ago."""
-        return self._passed_over.get(entry, 0.0) > self._clock.now()
+        """Return whether an entry gave no answer in the last ``SKIP_SECONDS``."""
+        return self._skipped_until.get(entry, 0.0) > self._clock.now()
 
     def ask(
-        self, entry: str, address: str, message: Message, reply: type[Reply]
+        self, entry: str, address: str, message: Message, reply_type: type[Reply]
     ) -> Reply | None:
-        """Ask an entry; one that is silent is passed over, and None returned.
+        """Send a request; return the reply, or None and skip the entry for a time.
 
-        :param reply: the type of its answer.
+        :param reply_type: the expected type of the reply; any other answer counts as a
+            failure.
         """
-        answer = self._links.ask(address, message, ASK_SECONDS)
-        if isinstance(answer, reply):
+        answer = self._links.ask(address, message, REPLY_TIMEOUT_SECONDS)
+        if isinstance(answer, reply_type):
             return answer
-        self._passed_over[entry] = self._clock.now() + PASSED_OVER_SECONDS
-        described = answer.describe() if isinstance(answer, Failure) else repr(answer)
-        emit(Event.OWNER_SILENT, entry=entry, failure=described)
+        self._skipped_until[entry] = self._clock.now() + SKIP_SECONDS
+        failure = answer.describe() if isinstance(answer, Failure) else repr(answer)
+        emit(Event.OWNER_SILENT, entry=entry, failure=failure)
         return None
--- a/boragestream/entry/parts.py
+++ b/boragestream/entry/parts.py
@@ -1,8 +1,8 @@
-"""What rides on the exchange between entries: parts that offer and take bytes.
+"""The parts of the messages that entries exchange.
 
-A part owns its own encoding and merging. Whatever it takes may come late, twice, out
-of order or not at all, so that merging must be idempotent and independent of order.
-When and with whom to exchange is left to ``entry.exchange``.
+Each part encodes its own data and merges that of peers. The data may arrive late,
+twice, out of order or not at all, so merging must be idempotent and independent of
+order. ``entry.exchange`` decides when and with which peers to exchange.
 """
 
 from collections.abc import Sequence
@@ -10,41 +10,42 @@
 
 __all__ = ["EXCHANGE_BYTES", "ExchangePart", "collect", "hand_out"]
 
-# Two exchanges a second begun and two answered are eight messages a second. With
-# envelope and headers, 600 bytes of parts in each stay below 7 KB a second.
+# An entry starts two exchanges per second and answers two, which makes eight messages
+# per second. With envelopes and headers, 600 bytes of parts in each message stay below
+# 7 KB per second.
 EXCHANGE_BYTES = 600
-# The key and length of a part in the message.
+# The bytes that the encoding of a part's key and length adds.
 PART_OVERHEAD = 4
 
 
 class ExchangePart(Protocol):
-    """One subject of the exchange, for example membership or account demand."""
+    """One kind of data in the exchange, such as membership or account demand."""
 
     @property
     def name(self) -> str:
-        """A short name, the same on every entry and in every version."""
+        """The short name of the part, the same on every entry and in every version."""
 
     def offer(self, budget: int) -> bytes:
-        """Return what a peer should hear now.
+        """Return the encoded data to send to a peer now.
 
-        :param budget: the most bytes; an offer beyond it is left out.
-        :returns: empty where there is nothing to say or no room to say it.
+        :param budget: the maximum size in bytes; a larger offer is not sent.
+        :returns: the data; empty if there is none or it does not fit.
         """
 
     def take(self, sender: str, data: bytes) -> None:
-        """Merge what a peer offered.
+        """Merge the data that a peer offered.
 
-        :param sender: the name of the entry that offered it.
-        :param data: what ``offer`` returned there; not yet checked.
+        :param sender: the name of the entry that offered the data.
+        :param data: the result of ``offer`` at the sender, not yet validated.
         """
 
 
 def collect(parts: Sequence[ExchangePart], turn: int) -> dict[str, bytes]:
-    """Return one message's parts within the byte budget.
+    """Return the offers of one message, within the limit of ``EXCHANGE_BYTES``.
 
-    :param parts: in the order of their importance; the first always has first call.
-    :param turn: rises with each message; the parts after the first take turns, so
-        that none starves.
+    :param parts: the parts; the first always gets space before all others.
+    :param turn: a number that rises with each message; it rotates the order of the
+        parts after the first, so that none of them starves.
     """
     if not parts:
         return {}
@@ -64,7 +65,7 @@
 def hand_out(
     parts: Sequence[ExchangePart], sender: str, collected: dict[str, bytes]
 ) -> None:
-    """Give each known part what a peer offered; unknown ones are left alone."""
+    """Pass a peer's offers to the parts of the same name; ignore unknown names."""
     for part in parts:
         data = collected.get(part.name)
         if data:
--- a/boragestream/entry/peer_questions.py
+++ b/boragestream/entry/peer_questions.py
@@ -1,8 +1,8 @@
-"""Asks peers for records in which their tables differ from an entry's own.
+"""Requests from peers the records in which their tables differ from this entry's.
 
-Digests that ride on the exchange tell that two tables differ; the question is asked
-beside the rounds, each peer once at a time. What is asked, and what becomes of the
-reply, is left to the parts of the exchange.
+Digests in the messages of the exchange show that two tables differ. The request is then
+sent independently of the rounds, one at a time to each peer. The parts of the exchange
+provide the request and handle the reply.
 """
 
 from collections.abc import Callable
@@ -16,21 +16,21 @@
 from boragestream.entry.messages import Message
 from boragestream.entry.open_questions import OpenQuestions
 
-__all__ = ["PeerQuestions", "decode_offer"]
+__all__ = ["PeerRequests", "decode_offer"]
 
-ASK_SECONDS = 1.0
+REPLY_TIMEOUT_SECONDS = 1.0
 
 Offer = TypeVar("Offer")
 
 
-class PeerQuestions:
-    """The questions of one part of the exchange.
+class PeerRequests:
+    """Sends the requests of one part of the exchange.
 
-    :param links: carries the questions.
-    :param address: returns a peer's address by its name.
-    :param submit: has a question asked beside the rounds.
-    :param question: returns the message to send.
-    :param take: takes a peer's reply.
+    :param links: sends requests to peers.
+    :param address: returns a peer's address, given its name.
+    :param submit: runs a callable, which sends a request, in the background.
+    :param make_request: returns the message to send.
+    :param on_reply: called with the peer's name and its reply.
     """
 
     def __init__(
@@ -38,19 +38,19 @@
         links: PeerLinks,
         address: Callable[[str], str | None],
         submit: Callable[[Callable[[], None]], None],
-        question: Callable[[], Message],
-        take: Callable[[str, Message], None],
+        make_request: Callable[[], Message],
+        on_reply: Callable[[str, Message], None],
     ) -> None:
         self._links = links
         self._address = address
         self._submit = submit
-        self._question = question
-        self._take = take
-        self._open = OpenQuestions()
+        self._make_request = make_request
+        self._on_reply = on_reply
+        self._open_requests = OpenQuestions()
 
-    def ask(self, peer: str) -> None:
-        """Ask a peer, unless it is being asked."""
-        if self._open.begin(peer):
+    def request(self, peer: str) -> None:
+        """Send a request to a peer unless one is in progress."""
+        if self._open_requests.begin(peer):
             self._submit(partial(self._ask, peer))
 
     def _ask(self, peer: str) -> None:
@@ -58,16 +58,19 @@
             address = self._address(peer)
             if address is None:
                 return
-            # A peer that gives no answer is noticed by the rounds.
-            self._take(peer, self._links.ask(address, self._question(), ASK_SECONDS))
+            # The rounds of the exchange detect a peer that gives no answer.
+            self._on_reply(
+                peer,
+                self._links.ask(address, self._make_request(), REPLY_TIMEOUT_SECONDS),
+            )
         finally:
-            self._open.end(peer)
+            self._open_requests.end(peer)
 
 
 def decode_offer(
     decoder: msgspec.msgpack.Decoder[Offer], peer: str, data: bytes
 ) -> Offer | None:
-    """Return what a peer offered; None, with a log line, where it can't be read."""
+    """Return the decoded offer of a peer; log it and return None if malformed."""
     try:
         return decoder.decode(data)
     except msgspec.DecodeError as error:
--- a/boragestream/entry/permit_messages.py
+++ b/boragestream/entry/permit_messages.py
@@ -1,6 +1,6 @@
-"""The messages by which entries ask for permits, and compare limits of servers.
+"""The messages for requesting permits and comparing the limits of servers.
 
-The envelope, and the rule for fields that are added, are those of ``entry.messages``.
+The envelope and the rule for added fields are described in ``entry.messages``.
 """
 
 import msgspec
@@ -14,16 +14,17 @@
     "PermitReturn",
 ]
 
-# A server's short form, the record's revision, the limit in hundredths of a request a
-# second, -1 where it has ended, and the milliseconds since an answer showed it.
+# The server's key, the record's revision, the limit in hundredths of a request per
+# second (-1 if the limit has ended), and the milliseconds since a server's answer
+# showed it.
 PackedLimit = tuple[bytes, int, int, int]
 
 
 class PermitAsk(msgspec.Struct, frozen=True, tag=True):
-    """Asks for a permit to call a server with a limit.
+    """Requests a permit to call a server that has a limit.
 
-    :ivar limit: what the sender knows of it.
-    :ivar wait_ms: the longest wait for the permit's beginning.
+    :ivar limit: the sender's record of the limit.
+    :ivar wait_ms: the longest acceptable wait until the permit is valid.
     """
 
     server: str
@@ -37,8 +38,9 @@
 class PermitReply(msgspec.Struct, frozen=True, tag=True):
     """Grants or refuses a permit.
 
-    :ivar number: names the permit at the entry that granted it; 0 for none.
-    :ivar wait_ms: until it begins, or until the next one would.
+    :ivar number: identifies the permit at the granting entry; 0 if refused.
+    :ivar wait_ms: the time until the permit is valid or, if refused, until the next one
+        would be.
     """
 
     number: int
@@ -46,24 +48,24 @@
 
 
 class PermitReturn(msgspec.Struct, frozen=True, tag=True):
-    """Gives a permit back that was not used.
+    """Returns an unused permit.
 
-    :ivar number: names it at the entry that granted it.
+    :ivar number: identifies the permit at the granting entry.
     """
 
     number: int
 
 
 class LimitsAsk(msgspec.Struct, frozen=True, tag=True):
-    """Asks for the records of limits in which two tables differ.
+    """Requests the limit records in which two tables differ.
 
-    :ivar digests: the sender's digests of its buckets.
+    :ivar digests: the digests of the buckets of the sender's table.
     """
 
     digests: tuple[int, ...]
 
 
 class LimitsReply(msgspec.Struct, frozen=True, tag=True):
-    """The records of the buckets that differ."""
+    """Returns the records of the buckets whose digests differ."""
 
     records: tuple[PackedLimit, ...]
--- a/boragestream/entry/piece_messages.py
+++ b/boragestream/entry/piece_messages.py
@@ -1,7 +1,7 @@
 """The messages between entries about the pieces of stages.
 
-How they travel is told by ``entry.messages``; who sends them, and what is made of them,
-by ``serving.piece_orders`` and ``serving.piece_bookings``.
+``entry.messages`` describes how they are sent. ``serving.piece_orders`` and
+``serving.piece_bookings`` send and handle them.
 """
 
 import msgspec
@@ -17,16 +17,16 @@
 
 
 class PiecesOrder(msgspec.Struct, frozen=True, tag=True):
-    """Asks the owner of a queue to have pieces made; it takes or refuses at once.
+    """Orders pieces from the owner of a queue, which accepts or refuses at once.
 
-    :ivar order_id: names the order; taking it twice changes nothing.
+    :ivar order_id: identifies the order; accepting it twice changes nothing.
     :ivar key: the request's piece key.
     :ivar inputs: the handles of the results that each piece needs.
-    :ivar start_ms: until the latest start that meets the objective.
-    :ivar left_ms: until nobody waits any more.
-    :ivar near: the data centre where much that it reads lies; empty for none.
-    :ivar regions: where alone the pieces may be made; empty for anywhere.
-    :ivar fingerprint: tells the request from others over all its returns.
+    :ivar start_ms: the time until the latest start that meets the objective.
+    :ivar left_ms: the time until no caller waits for the pieces any more.
+    :ivar near: the data centre that holds much of the input; empty for none.
+    :ivar regions: the only regions where the pieces may be made; empty for any.
+    :ivar fingerprint: identifies the request, also when its caller returns.
     """
 
     order_id: str
@@ -47,13 +47,13 @@
 
 
 class PiecesBook(msgspec.Struct, frozen=True, tag=True):
-    """Asks the owner of a queue whether an order that will come can be met.
+    """Asks the owner of a queue whether it can meet a future order.
 
-    :ivar order_id: names the order to come.
+    :ivar order_id: identifies the future order.
     :ivar key: the request's piece key.
-    :ivar start_ms: until its latest start.
-    :ivar left_ms: until nobody waits any more.
-    :ivar regions: where alone the pieces may be made; empty for anywhere.
+    :ivar start_ms: the time until its latest start.
+    :ivar left_ms: the time until no caller waits for the pieces any more.
+    :ivar regions: the only regions where the pieces may be made; empty for any.
     """
 
     order_id: str
@@ -68,9 +68,10 @@
 
 
 class PiecesAnswer(msgspec.Struct, frozen=True, tag=True):
-    """Says whether an order or a booking was taken.
+    """Accepts or refuses an order or a booking.
 
-    :ivar wait_ms: the expected wait where it was not.
+    :ivar taken: whether it was accepted.
+    :ivar wait_ms: the expected wait if it was refused.
     """
 
     taken: bool
@@ -78,10 +79,10 @@
 
 
 class PiecesDone(msgspec.Struct, frozen=True, tag=True):
-    """Tells results of an order.
+    """Reports results of an order.
 
-    :ivar results: of each piece its number, handle, the fault's name if any, and the
-        data centre where the result lies.
+    :ivar results: for each piece its number, its handle, the fault's name if any, and
+        the data centre that holds the result.
     """
 
     order_id: str
@@ -89,13 +90,13 @@
 
 
 class PiecesCancel(msgspec.Struct, frozen=True, tag=True):
-    """Says that an order is not waited for any more, or will not come."""
+    """Cancels an order or a booking that is no longer needed."""
 
     service: str
     order_id: str
 
 
 class PiecesRelease(msgspec.Struct, frozen=True, tag=True):
-    """Says that results are not needed any more."""
+    """Releases results that are no longer needed."""
 
     handles: tuple[str, ...]
--- a/boragestream/entry/server_permits.py
+++ b/boragestream/entry/server_permits.py
@@ -1,15 +1,17 @@
-"""Permits to call servers with a limit, from the entry that grants them.
+"""Acquires and grants permits to call servers that have a limit.
 
-The live entries rank each other alike for a server, and the first grants its permits;
-while it is silent the second does. A permit begins at a moment and is valid for a short
-while. Its time is counted from the question, so that one that travelled for long, or
-that a suspended process holds, is not used.
+All live entries compute the same ranking of entries for a server. The first entry
+grants the server's permits; while it does not answer, the second does. A permit is
+valid for a short time from a given moment. Its validity is counted from the time of the
+request for it, so that a permit that was delayed on the network, or that a suspended
+process holds, expires unused.
 
-An entry that has never agreed with others on who is there neither asks nor grants:
-entries that start together would each take themselves for the first. Later ones that
-know a few entries more or less than others rank them alike, but for the first ones.
+An entry that has never agreed with other entries on the set of live entries neither
+requests nor grants permits: entries that start together would each consider themselves
+the first. Entries whose lists differ by a few entries later on still compute the same
+ranking, except possibly for its first places.
 
-Left out: how many permits there are (``policy.server_limits``).
+The number of permits is decided in ``policy.server_limits``.
 """
 
 import itertools
@@ -31,23 +33,23 @@
 
 __all__ = ["Permit", "PermitRefused", "ServerPermits"]
 
-# A permit that is not given back in time is lost, and nothing more.
-RETURN_SECONDS = 0.3
-# Entries agree on who is there, or find out who is silent, in about this time.
-UNSETTLED_SECONDS = 0.5
-# No caller waits longer for a permit.
-KEPT_SECONDS = 30.0
+# If the granting entry does not answer a return in time, only that permit is lost.
+RETURN_TIMEOUT_SECONDS = 0.3
+# Entries take about this time to agree on the live entries or to detect a silent one.
+UNSETTLED_RETRY_SECONDS = 0.5
+# Grants are remembered this long; no caller waits longer for a permit.
+GRANT_KEEP_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
     """The right to send one request to a server.
 
-    :ivar server: the server's short form.
-    :ivar begins: the clock's seconds before which it is not valid yet.
-    :ivar expires: the clock's seconds at which it is valid no more.
-    :ivar granted_by: the entry that granted it.
-    :ivar number: names it there.
+    :ivar server: the server's key (``policy.limit_records.server_key``).
+    :ivar begins: the clock time in seconds from which the permit is valid.
+    :ivar expires: the clock time in seconds at which the permit expires.
+    :ivar granted_by: the entry that granted the permit.
+    :ivar number: identifies the permit at the granting entry.
     """
 
     server: bytes
@@ -61,28 +63,28 @@
 class PermitRefused(Failure):
     """There is no permit in time.
 
-    :ivar left_seconds: until there is one.
+    :ivar left_seconds: the time until a permit is available.
     """
 
     left_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Granted:
+class _Grant:
     server: bytes
     moment: float
 
 
 class ServerPermits:
-    """The permits that this entry asks for, and those that it grants.
+    """Acquires permits for this entry and grants permits to other entries.
 
     :param own: this entry's name.
     :param granters: the entries that grant the permits of each server.
-    :param address: returns an entry's address for other entries by its name.
-    :param agreed: tells whether other entries know the same live ones.
-    :param submit: has a message sent without waiting for it.
-    :param ended: takes the service of each permit that was asked for, and whether it
-        was granted.
+    :param address: returns an entry's peer address, given its name.
+    :param agreed: returns whether the other entries know the same live entries.
+    :param submit: runs a callable, which sends a message, in the background.
+    :param ended: called after each acquisition with the server's service and whether a
+        permit was granted.
     """
 
     def __init__(
@@ -105,31 +107,34 @@
         self._links = links
         self._submit = submit
         self._clock = clock
-        self._ended = ended
+        self._on_acquired = ended
         self._settled = False
-        self._questions = OwnerQuestions(links, clock)
+        self._owner_requests = OwnerQuestions(links, clock)
         self._numbers = itertools.count(1)
-        self._granted: dict[int, _Granted] = {}
+        self._grants: dict[int, _Grant] = {}
         self._lock = threading.Lock()
 
     def grants(self, server: Server) -> bool:
-        """Tell whether this entry grants the permits of a server."""
+        """Return whether this entry grants the permits of a server."""
         return self._is_settled() and self._granters.of(server)[:1] == [self._own]
 
     def acquire(self, server: Server, wait_seconds: float) -> Permit | PermitRefused:
-        """Return a permit, or how long none is to be had.
+        """Return a permit, or a refusal with the time until one is available.
 
-        :param wait_seconds: the longest wait for its beginning.
+        :param wait_seconds: the longest acceptable wait until the permit is valid.
         """
         result = self._acquire(server, wait_seconds)
         refused = isinstance(result, PermitRefused)
-        self._ended(server.service, not refused)
+        self._on_acquired(server.service, not refused)
         if refused:
             self._limits.note_busy(server, result.left_seconds)
         return result
 
     def is_valid(self, server: Server, permit: Permit | None) -> bool:
-        """Tell whether a request may be sent to a server now."""
+        """Return whether a request may be sent to a server now.
+
+        :param permit: the permit to call the server; None if there is none.
+        """
         if self._limits.limit(server) is None:
             return True
         if permit is None or permit.server != server_key(server):
@@ -137,30 +142,32 @@
         return self._clock.now() < permit.expires
 
     def give_back(self, permit: Permit) -> None:
-        """Return a permit under which nothing was sent."""
+        """Return an unused permit to the entry that granted it."""
         if permit.granted_by == self._own:
-            self._take_back(permit.number)
+            self._release(permit.number)
             return
         address = self._address(permit.granted_by)
         if address is not None:
             message = PermitReturn(permit.number)
-            self._submit(lambda: self._links.ask(address, message, RETURN_SECONDS))
+            self._submit(
+                lambda: self._links.ask(address, message, RETURN_TIMEOUT_SECONDS)
+            )
 
     def answer(self, envelope: Envelope, message: PermitAsk) -> PermitReply:
-        """Grant another entry a permit, or refuse it."""
+        """Grant a permit to another entry, or refuse it."""
         record, age = unpack_limit(message.limit)
         note_limit_change(self._limits.take(record, age), envelope.sender, age)
         name, host, service = message.server, message.host, message.service
         server = Server(name, service, host, "", message.incarnation)
         if not self._is_settled() or self._own not in self._granters.of(server):
-            return PermitReply(0, int(UNSETTLED_SECONDS * 1000))
-        number, left = self._grant(server, message.wait_ms / 1000)
-        # Rounded up, so that no permit begins too early.
-        return PermitReply(number, int(left * 1000) + 1)
+            return PermitReply(0, int(UNSETTLED_RETRY_SECONDS * 1000))
+        number, delay = self._grant(server, message.wait_ms / 1000)
+        # Rounded up, so that no permit is valid too early.
+        return PermitReply(number, int(delay * 1000) + 1)
 
     def answer_return(self, envelope: Envelope, message: PermitReturn) -> ProbeReply:
-        """Take a permit back."""
-        self._take_back(message.number)
+        """Accept a permit that another entry returns unused."""
+        self._release(message.number)
         return ProbeReply(0)
 
     def _is_settled(self) -> bool:
@@ -170,26 +177,26 @@
     def _acquire(self, server: Server, wait_seconds: float) -> Permit | PermitRefused:
         record = self._limits.known(server)
         if record is None or not self._is_settled():
-            return PermitRefused(UNSETTLED_SECONDS)
+            return PermitRefused(UNSETTLED_RETRY_SECONDS)
         for entry in self._granters.of(server):
-            asked_at = self._clock.now()
+            requested_at = self._clock.now()
             if entry == self._own:
-                number, left = self._grant(server, wait_seconds)
-            elif self._questions.is_passed_over(entry):
+                number, delay = self._grant(server, wait_seconds)
+            elif self._owner_requests.is_passed_over(entry):
                 continue
             else:
-                reply = self._ask(entry, server, record, wait_seconds)
+                reply = self._request_permit(entry, server, record, wait_seconds)
                 if reply is None:
                     continue
-                number, left = reply.number, reply.wait_ms / 1000
+                number, delay = reply.number, reply.wait_ms / 1000
             if not number:
-                return PermitRefused(left)
-            begins = self._clock.now() + left
-            expires = asked_at + left + PERMIT_SECONDS
+                return PermitRefused(delay)
+            begins = self._clock.now() + delay
+            expires = requested_at + delay + PERMIT_SECONDS
             return Permit(record.server, begins, expires, entry, number)
-        return PermitRefused(UNSETTLED_SECONDS)
+        return PermitRefused(UNSETTLED_RETRY_SECONDS)
 
-    def _ask(
+    def _request_permit(
         self, entry: str, server: Server, record: LimitRecord, wait_seconds: float
     ) -> PermitReply | None:
         address = self._address(entry)
@@ -203,32 +210,30 @@
             pack_limit(record, self._limits.age(record)),
             int(wait_seconds * 1000),
         )
-        return self._questions.ask(entry, address, message, PermitReply)
+        return self._owner_requests.ask(entry, address, message, PermitReply)
 
     def _grant(self, server: Server, wait_seconds: float) -> tuple[int, float]:
-        """Return the number of a permit, 0 for none, and the seconds to its begin."""
+        """Return a permit's number, 0 if refused, and the seconds until it is valid."""
         key = server_key(server)
         standing = self._granters.standing(server, self._own)
-        moment, left = self._limits.reserve(key, wait_seconds, standing)
+        moment, delay = self._limits.reserve(key, wait_seconds, standing)
         if moment is None:
-            return 0, left
+            return 0, delay
         with self._lock:
-            self._drop_old()
+            self._drop_old_grants()
             number = next(self._numbers)
-            self._granted[number] = _Granted(key, moment)
-        return number, left
+            self._grants[number] = _Grant(key, moment)
+        return number, delay
 
-    def _take_back(self, number: int) -> None:
+    def _release(self, number: int) -> None:
         with self._lock:
-            granted = self._granted.pop(number, None)
+            granted = self._grants.pop(number, None)
         if granted is not None:
             self._limits.give_back(granted.server, granted.moment)
 
-    def _drop_old(self) -> None:
-        before = self._clock.now() - KEPT_SECONDS
+    def _drop_old_grants(self) -> None:
+        oldest = self._clock.now() - GRANT_KEEP_SECONDS
         for number in list(
-            itertools.takewhile(
-                lambda n: self._granted[n].moment < before, self._granted
-            )
+            itertools.takewhile(lambda n: self._grants[n].moment < oldest, self._grants)
         ):
-            del self._granted[number]
+            del self._grants[number]
--- a/boragestream/entry/tls.py
+++ b/boragestream/entry/tls.py
@@ -1,8 +1,8 @@
-"""TLS for the links between entries, beside the authentication of each message.
+"""TLS for the connections between entries, in addition to message authentication.
 
-Both sides show a certificate of the deployment's own authority, issued for the
-deployment's name; addresses are IP numbers and change, so that no name of a machine
-is checked. Issuing certificates is left to the operators.
+Both sides present a certificate that the deployment's own authority has issued for the
+deployment's name. Host names are not checked, since peers are addressed by IP address
+and the addresses change. The operators issue the certificates.
 """
 
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerTls:
-    """The two sides' configurations, shared by all sockets of an entry."""
+    """The TLS configurations of dialling and listening sockets of an entry."""
 
     dialling: pynng.TLSConfig
     listening: pynng.TLSConfig
@@ -27,7 +27,7 @@
 def load_peer_tls(settings: PeerTlsSettings, deployment: str) -> PeerTls | Fault:
     """Read the certificate files.
 
-    :param deployment: the name that a peer's certificate must carry.
+    :param deployment: the name that a peer's certificate must contain.
     """
     try:
         files = {
@@ -44,5 +44,5 @@
             pynng.TLSConfig(server, auth_mode=required, **files),
         )
     except (OSError, UnicodeDecodeError, pynng.NNGException) as error:
-        # The text of an error could quote a file.
+        # The error's text is left out, since it could quote the content of a file.
         return Fault("peer.tls", type(error).__name__)
