--- a/tests/features/steps/entry_links.py
+++ b/tests/features/steps/entry_links.py
@@ -1,4 +1,4 @@
-"""Steps that speak to the peer port of an entry."""
+"""Steps that send messages to the peer port of an entry."""
 
 import random
 import socket
@@ -11,16 +11,16 @@
 from boragestream.entry.messages import Probe, ProbeReply, Sender
 from tests.standins.fleet import ADDRESS, PEER_KEY
 
-ASK_SECONDS = 5
+REPLY_TIMEOUT_SECONDS = 5
 
 
 @when('a peer of deployment "{deployment}" with the key of the tests probes "{name}"')
 @when('a peer of deployment "{deployment}" with the key "{key}" probes "{name}"')
 def step(context, deployment, name, key=PEER_KEY):
-    """Send a probe and keep the answer."""
+    """Send a probe and store the answer in the context."""
     links = PeerLinks(Sender(deployment, "entry-9", "9", key.encode()))
     address = f"{ADDRESS}:{context.fleet.entries[name].extra['peer_port']}"
-    context.answer = links.ask(address, Probe(), ASK_SECONDS)
+    context.answer = links.ask(address, Probe(), REPLY_TIMEOUT_SECONDS)
     links.close()
 
 
@@ -38,7 +38,8 @@
 
 @then("it is rejected")
 def step(context):
-    # A stranger cannot read the refusal either, since it is sealed with our key.
+    # The refusal is sealed with the entry's key, so a peer without that key can't read
+    # it and gets no ``PeerRejected``.
     refused = not isinstance(context.answer, ProbeReply)
     assert refused, context.answer
     assert not isinstance(context.answer, PeerRejected), context.answer
@@ -50,8 +51,8 @@
         links = PeerLinks(Sender("cooperative", "entry-9", "9", PEER_KEY.encode()))
         address = f"{ADDRESS}:{silent.getsockname()[1]}"
         with ThreadPoolExecutor(1) as pool:
-            asked = pool.submit(links.ask, address, Probe(), 0.2)
-            context.answer = asked.result(ASK_SECONDS)
+            reply = pool.submit(links.ask, address, Probe(), 0.2)
+            context.answer = reply.result(REPLY_TIMEOUT_SECONDS)
         links.close()
 
 
@@ -78,9 +79,9 @@
 def step(context):
     links = PeerLinks(Sender("cooperative", "entry-9", "9", PEER_KEY.encode()))
     pool = ThreadPoolExecutor(2)
-    # Closing the links ends a question that would wait for ever.
+    # Closing the links ends a request that would otherwise never return.
     context.add_cleanup(links.close)
-    context.asked = [
+    context.replies = [
         pool.submit(links.ask, context.silent, Probe(), seconds)
         for seconds in (0.2, 0.4)
     ]
@@ -88,5 +89,5 @@
 
 @then("both questions end as unreachable")
 def step(context):
-    answers = [asked.result(ASK_SECONDS) for asked in context.asked]
+    answers = [reply.result(REPLY_TIMEOUT_SECONDS) for reply in context.replies]
     assert [type(a) for a in answers] == [PeerUnreachable] * 2, answers
--- a/tests/features/steps/entry_tls.py
+++ b/tests/features/steps/entry_tls.py
@@ -1,4 +1,4 @@
-"""Steps that make certificates and change keys."""
+"""Steps that issue certificates and replace keys."""
 
 import copy
 import hashlib
@@ -26,12 +26,12 @@
 from tests.standins.sites import example_key
 
 SENDER = Sender("cooperative", "entry-1", "1", PEER_KEY.encode())
-ANSWER_SECONDS = 10
-SILENCE_SECONDS = 1
+REPLY_TIMEOUT_SECONDS = 10
+NO_REPLY_TIMEOUT_SECONDS = 1
 
 
-def files(authority, issuer, name):
-    """Write a certificate's files and return the settings that name them."""
+def write_certificate(authority, issuer, name):
+    """Issue a certificate, write its files and return the settings that name them."""
     folder = Path(tempfile.mkdtemp(prefix="boragestream-tls-"))
     certificate = issuer.issue_cert(name)
     chain = b"".join(pem.bytes() for pem in certificate.cert_chain_pems)
@@ -45,7 +45,9 @@
 @given('an authority and a listening entry with its certificate for "{name}"')
 def step(context, name):
     context.authority = trustme.CA()
-    tls = load_peer_tls(files(context.authority, context.authority, name), name)
+    tls = load_peer_tls(
+        write_certificate(context.authority, context.authority, name), name
+    )
     context.peer_address = f"{ADDRESS}:{free_ports(1)[0]}"
     handlers = {Probe: lambda envelope, message: ProbeReply(1)}
     listener = PeerListener(SENDER, context.peer_address, handlers, tls)
@@ -55,11 +57,13 @@
 
 @when('a peer with a certificate of {issuer} for "{name}" probes it {how}')
 def step(context, issuer, name, how):
-    own = context.authority if issuer == "the authority" else trustme.CA()
-    tls = load_peer_tls(files(context.authority, own, name), name)
+    issuing_authority = context.authority if issuer == "the authority" else trustme.CA()
+    tls = load_peer_tls(
+        write_certificate(context.authority, issuing_authority, name), name
+    )
     links = PeerLinks(SENDER, tls if how == "under TLS" else None)
-    good = how == "under TLS" and issuer == "the authority"
-    seconds = ANSWER_SECONDS if good else SILENCE_SECONDS
+    accepted = how == "under TLS" and issuer == "the authority"
+    seconds = REPLY_TIMEOUT_SECONDS if accepted else NO_REPLY_TIMEOUT_SECONDS
     context.answer = links.ask(context.peer_address, Probe(), seconds)
     links.close()
 
@@ -112,11 +116,11 @@
 
 
 def publish_keys(context, account, keys):
-    """Publish a document with these keys and wait until each entry has it."""
+    """Publish a document with the given keys and wait until every entry uses it."""
     document = copy.deepcopy(context.fleet.document)
     document["version"] += 1
-    owner = next(a for a in document["client_accounts"] if a["name"] == account)
-    owner["key_digests"] = [hashlib.sha256(key.encode()).hexdigest() for key in keys]
+    record = next(a for a in document["client_accounts"] if a["name"] == account)
+    record["key_digests"] = [hashlib.sha256(key.encode()).hexdigest() for key in keys]
     context.fleet.document = document
     context.fleet.publish(document)
     context.fleet.wait_for_version(document["version"])
@@ -135,8 +139,8 @@
 
 @then('its old key and its key "{key}" are answered')
 def step(context, key):
-    for each in (context.old_key, key):
-        reply = Client(each, context.fleet.addresses()).call("caption", "x")
+    for used_key in (context.old_key, key):
+        reply = Client(used_key, context.fleet.addresses()).call("caption", "x")
         assert reply.outcome == "answered", reply
 
 
