--- a/tests/features/steps/daemon_shutdown.py
+++ b/tests/features/steps/daemon_shutdown.py
@@ -1,4 +1,4 @@
-"""Steps that stop entries while they work."""
+"""Steps that stop entries while requests are in progress."""
 
 import http.client
 import json
@@ -16,9 +16,9 @@
 
 KEY = example_key("patan-counter")
 DEADLINE_MS = 30_000
-WORK = (("caption", True), ("caption", False), ("order-status", False))
+PIPELINE_CALLS = (("caption", True), ("caption", False), ("order-status", False))
 LAST_SERVICE = {"caption": "writer", "order-status": "member-ledger"}
-TRICKLE_SECONDS = 0.02
+CALL_INTERVAL_SECONDS = 0.02
 MAX_CALLS = 3000
 
 
@@ -28,11 +28,11 @@
 )
 def step(context, name, seconds):
     entry = context.fleet.entries[name]
-    pool = ThreadPoolExecutor(len(WORK))
+    pool = ThreadPoolExecutor(len(PIPELINE_CALLS))
     context.add_cleanup(pool.shutdown)
     context.calls = []
     context.futures = []
-    for pipeline, stream in WORK:
+    for pipeline, stream in PIPELINE_CALLS:
         call = Call(pipeline, context.injected.text(), stream, DEADLINE_MS)
         slow = {"fault": "slow", "at": "middle", "seconds": seconds}
         context.fleet.inject_call(LAST_SERVICE[pipeline], call.text, slow)
@@ -109,7 +109,7 @@
     context.calls = []
     with ThreadPoolExecutor(4) as pool:
         futures = [
-            pool.submit(trickle, context, pipeline, stream, done)
+            pool.submit(call_repeatedly, context, pipeline, stream, done)
             for pipeline, stream in ((first, True), (first, False), (second, False))
         ]
         try:
@@ -123,20 +123,20 @@
     assert len(context.calls) > len(context.fleet.entries)
 
 
-def trickle(context, pipeline, stream, done):
-    """Call one pipeline again and again as the system names the entries."""
+def call_repeatedly(context, pipeline, stream, done):
+    """Call one pipeline repeatedly, at the addresses that the entries list."""
     client = Client(KEY, context.fleet.addresses())
     for turn in range(MAX_CALLS):
-        if done.wait(TRICKLE_SECONDS):
+        if done.wait(CALL_INTERVAL_SECONDS):
             return
-        # Each call goes to one entry alone, so that none hides an entry's refusal.
+        # Each call goes to one entry only, so that no other entry hides its refusal.
         addresses = client.addresses()
         call = Call(pipeline, context.injected.text(), stream, DEADLINE_MS)
         context.calls.append(call.make(addresses[turn % len(addresses)]))
 
 
 def replace(fleet, name, entry):
-    """Stop an entry and start the next at its address; the list says live all along."""
+    """Replace an entry at its address; the instance list always shows it as live."""
     entry.signal(signal.SIGTERM)
     ended = entry.popen.wait(timeout=60)
     assert ended == 0, (name, ended)
--- a/tests/features/steps/entry_start.py
+++ b/tests/features/steps/entry_start.py
@@ -1,4 +1,4 @@
-"""Steps about what an entry does before it serves."""
+"""Steps for the start of an entry, before it serves requests."""
 
 import socket
 import subprocess
@@ -13,8 +13,8 @@
 ADDRESS = "127.0.0.1"
 
 
-def loaded_by(module):
-    """Return the names of all modules that a process has after one import."""
+def modules_loaded_by(module):
+    """Return the names of all modules loaded after importing one module."""
     code = f"import sys, {module}; print(' '.join(sys.modules))"
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
@@ -52,12 +52,12 @@
 
 @when("the command of an entry is loaded in a process of its own")
 def step(context):
-    context.loaded = loaded_by("boragestream.daemon.route_command")
+    context.loaded = modules_loaded_by("boragestream.daemon.route_command")
 
 
 @when("the whole entry is loaded in a process of its own")
 def step(context):
-    context.loaded = loaded_by("boragestream.daemon.route_process")
+    context.loaded = modules_loaded_by("boragestream.daemon.route_process")
 
 
 @then('nothing of "{names}" is loaded')
--- a/tests/features/steps/route_entries.py
+++ b/tests/features/steps/route_entries.py
@@ -1,4 +1,4 @@
-"""Steps on several entries on the platform's forms."""
+"""Steps for several entries that use the platform's formats."""
 
 import contextlib
 import io
@@ -33,8 +33,8 @@
     context.site.wait_ready(name)
 
 
-def all_name(context, names, count):
-    """Wait until some entries name so many entries."""
+def wait_until_listed(context, names, count):
+    """Wait until each of the named entries lists ``count`` entries."""
     for name in names:
         wait_until(
             lambda n=name: len(context.site.directory(n)) == count,
@@ -44,16 +44,16 @@
 
 @then('"{one}" and "{two}" name {count:d} entries')
 def step(context, one, two, count):
-    all_name(context, (one, two), count)
+    wait_until_listed(context, (one, two), count)
 
 
 @then("all entries name {count:d} entries")
 def step(context, count):
-    all_name(context, NAMES, count)
+    wait_until_listed(context, NAMES, count)
 
 
 def publish(context, version, **changes):
-    """Publish a version."""
+    """Publish a version of the configuration."""
     context.site.publish(configuration(version, **changes))
 
 
@@ -77,8 +77,8 @@
     publish(context, version)
 
 
-def all_answer(context, path, status):
-    """Wait until all entries answer a path with a status, and go on to."""
+def wait_for_status(context, path, status):
+    """Wait until each entry answers a path with a status, then check it once more."""
     for name in NAMES:
         wait_until(
             lambda n=name: context.site.call(path, "GET", None, n).status == status,
@@ -89,12 +89,12 @@
 
 @then('all entries serve "{path}"')
 def step(context, path):
-    all_answer(context, path, 200)
+    wait_for_status(context, path, 200)
 
 
 @then('all entries answer {status:d} to "{path}"')
 def step(context, status, path):
-    all_answer(context, path, status)
+    wait_for_status(context, path, status)
 
 
 @when('the store is "{trouble}"')
@@ -120,7 +120,7 @@
 
 @given('"{name}" is turned away by its own store')
 def step(context, name):
-    # A store of its own, with the same values, which then turns it away.
+    # The entry gets a separate store with the same values, which then answers 503.
     site = context.site
     context.own_store = RouteStore(ADDRESS)
     for key, (value, _) in site.store.items.items():
@@ -136,7 +136,7 @@
 @then('version {version:d} without "{prefix}" ends it on all entries')
 def step(context, version, prefix):
     publish(context, version)
-    all_answer(context, f"{prefix}ok", 404)
+    wait_for_status(context, f"{prefix}ok", 404)
 
 
 @then('"{name}" is served by the store again')
@@ -185,7 +185,7 @@
     site.list(new)
 
     def reached():
-        # One call after the other may all go to the same one of two idle servers.
+        # Sequential calls may all go to the same one of two idle servers.
         site.at_once(6, lambda _: site.call("/safe/slow", "GET", None))
         return sum(new.runs.values()) > 0
 
@@ -270,7 +270,7 @@
 
 @then("the stream ends without its end and the entry ends with exit code {code:d}")
 def step(context, code):
-    # The settings say when the platform would kill it.
+    # The settings state when the platform kills the process.
     grace = context.site.fields[context.stopped]["bounds"]["grace_s"]
     assert context.site.entries[context.stopped].popen.wait(grace) == code
     context.caller.join()
@@ -282,7 +282,7 @@
 @then('it is not ready at once, and "{one}" and "{two}" name {count:d} entries')
 def step(context, one, two, count):
     wait_until(lambda: context.site.ready(context.stopped) == 503, what="not ready")
-    all_name(context, (one, two), count)
+    wait_until_listed(context, (one, two), count)
 
 
 @then("the slow request is answered whole and the entry ends with exit code {code:d}")
