--- a/boragestream/caller/application.py
+++ b/boragestream/caller/application.py
@@ -1,7 +1,7 @@
-"""The WSGI application that callers talk to.
+"""The WSGI application that serves callers.
 
-It reads a request, has it admitted and run, and answers with exactly one outcome. The
-HTTP server itself is waitress, set up in ``caller.server``.
+It parses a request, admits it, runs its pipeline and replies with exactly one outcome.
+``caller.server`` configures waitress, the HTTP server.
 """
 
 import math
@@ -58,8 +58,8 @@
 class Application:
     """The application; waitress calls it in a thread for each request.
 
-    :ivar quarantine: which requests crash servers.
-    :ivar pages: answers what is neither a pipeline nor about tickets.
+    :ivar quarantine: records which requests have crashed servers.
+    :ivar pages: answers requests for anything but pipelines and tickets.
     """
 
     configuration: ConfigurationInForce
@@ -81,7 +81,7 @@
             return self._answer(environ, start_response, request_id)
         except Exception as error:
             emit(Event.REQUEST_BROKEN, request=request_id, error=describe_error(error))
-            # What may have run is not known here.
+            # The request may have run before the error.
             outcome = Unknown(EntryBroken(), self.tickets.ask_path(request_id))
             return outcome_reply(start_response, outcome, request_id)
 
@@ -115,111 +115,111 @@
             return self.tickets.post(
                 environ, start_response, request_id, name, in_force, self.run_ticketed
             )
-        asked = read_request(environ, name, in_force, self.max_body_bytes)
-        if isinstance(asked, Failure):
-            return self.refusals.reply(start_response, request_id, asked)
+        parsed = read_request(environ, name, in_force, self.max_body_bytes)
+        if isinstance(parsed, Failure):
+            return self.refusals.reply(start_response, request_id, parsed)
         ask = self.tickets.ask_path(request_id)
-        request = self._admit(request_id, asked, in_force, arrived, ask, environ)
+        request = self._admit(request_id, parsed, in_force, arrived, ask, environ)
         if isinstance(request, Refused | Failed):
             return outcome_reply(start_response, request, request_id)
-        if asked.stream and request.is_streamable:
-            return self._stream(start_response, request, asked, arrived)
-        ending = self._run(request, asked, arrived)
-        self.tickets.runs.remember(asked.account.name, request_id, ending)
+        if parsed.stream and request.is_streamable:
+            return self._stream(start_response, request, parsed, arrived)
+        ending = self._run(request, parsed, arrived)
+        self.tickets.runs.remember(parsed.account.name, request_id, ending)
         return outcome_reply(start_response, ending.reported, request_id)
 
     def run_ticketed(
         self,
         request_id: str,
-        asked: CallerRequest,
+        parsed: CallerRequest,
         in_force: DocumentInForce,
         arrived: float,
         run_by: float,
         ask: str,
     ) -> Ending:
-        """Run a request under a ticket; it goes on when its caller goes away.
+        """Run a request under a ticket; it continues if its caller disconnects.
 
-        :param arrived: the clock's seconds at which the request came in.
+        :param arrived: the clock's seconds at which the request arrived.
         :param run_by: the ticket's expiry.
-        :param ask: where to ask for the ticket.
+        :param ask: the path that returns the ticket's state.
         """
-        request = self._admit(request_id, asked, in_force, arrived, ask, {}, run_by)
+        request = self._admit(request_id, parsed, in_force, arrived, ask, {}, run_by)
         if isinstance(request, Refused | Failed):
             return Ending(request, request)
-        return self._run(request, asked, arrived)
+        return self._run(request, parsed, arrived)
 
     def _admit(
         self,
         request_id: str,
-        asked: CallerRequest,
+        parsed: CallerRequest,
         in_force: DocumentInForce,
         arrived: float,
         ask: str,
         watched: Environ,
         run_by: float = math.inf,
     ) -> RequestRecord | Refused | Failed:
-        request_print = _fingerprint(asked)
-        held = self._held(request_print, asked)
-        if held is not None:
-            # It has run where it is quarantined; a copy that waits its turn has not.
-            ran = isinstance(held, RequestQuarantined)
-            outcome = (Failed if ran else Refused)(held, held.left_seconds)
-            self._log_end(request_id, asked, arrived, outcome)
+        request_digest = _fingerprint(parsed)
+        failure = self._quarantine_failure(request_digest, parsed)
+        if failure is not None:
+            # A quarantined request has run; a suspected copy that waits has not.
+            ran = isinstance(failure, RequestQuarantined)
+            outcome = (Failed if ran else Refused)(failure, failure.left_seconds)
+            self._log_end(request_id, parsed, arrived, outcome)
             return outcome
-        deadline = arrived + asked.deadline_ms / 1000
+        deadline = arrived + parsed.deadline_ms / 1000
         caller_gone = watched.get("waitress.client_disconnected")
         policies = in_force.document.policies
         admitted = self.admission.enter(
-            Candidate(asked.account, asked.pipeline, deadline, policies, caller_gone)
+            Candidate(parsed.account, parsed.pipeline, deadline, policies, caller_gone)
         )
         if isinstance(admitted, Refused):
-            self._log_end(request_id, asked, arrived, admitted)
+            self._log_end(request_id, parsed, arrived, admitted)
             return admitted
         scope = CancelScope(deadline, caller_gone, watched.get(STOP_WAITING))
         request = RequestRecord(
             request_id=request_id,
-            account=asked.account,
-            pipeline=asked.pipeline,
+            account=parsed.account,
+            pipeline=parsed.pipeline,
             in_force=in_force,
-            body=asked.body,
+            body=parsed.body,
             scope=scope,
             sent=SentRecord(),
             run_by=run_by,
             ask=ask,
             admitted=admitted,
-            fingerprint=request_print,
+            fingerprint=request_digest,
         )
         self.watchdog.open(scope)
         return request
 
-    def _held(
-        self, request_print: bytes, asked: CallerRequest
+    def _quarantine_failure(
+        self, request_digest: bytes, parsed: CallerRequest
     ) -> RequestQuarantined | RequestSuspected | None:
-        """Return why the servers of one of its stages may not be sent a request."""
+        """Return the failure that bars the request from one of its stages, if any."""
         if self.quarantine.empty:
             return None
-        for stage in asked.pipeline.stages:
-            of = stage_fingerprint(request_print, stage.service)
-            held = self.quarantine.held(of)
-            if held is not None:
-                return held
+        for stage in parsed.pipeline.stages:
+            digest = stage_fingerprint(request_digest, stage.service)
+            failure = self.quarantine.held(digest)
+            if failure is not None:
+                return failure
         return None
 
     def _run(
-        self, request: RequestRecord, asked: CallerRequest, arrived: float
+        self, request: RequestRecord, parsed: CallerRequest, arrived: float
     ) -> Ending:
         try:
             ending = self._conclude(request, self.pipelines.run(request))
         finally:
             self._release(request)
-        self._log_end(request.request_id, asked, arrived, ending.reported)
+        self._log_end(request.request_id, parsed, arrived, ending.reported)
         return ending
 
     def _stream(
         self,
         start_response: StartResponse,
         request: RequestRecord,
-        asked: CallerRequest,
+        parsed: CallerRequest,
         arrived: float,
     ) -> Reply:
         last = request.pipeline.stages[-1].name
@@ -229,9 +229,9 @@
             request.admitted.end_stage(last, whole, whole, streamed=True)
             self._release(request)
             ending = Ending(outcome, outcome)
-            account = asked.account.name
+            account = parsed.account.name
             self.tickets.runs.remember(account, request.request_id, ending)
-            self._log_end(request.request_id, asked, arrived, outcome)
+            self._log_end(request.request_id, parsed, arrived, outcome)
 
         opened = False
         try:
@@ -242,7 +242,7 @@
                 self._release(request)
         if isinstance(answer, Failure):
             outcome = request.outcome_of(answer, self._retry_after(request))
-            self._log_end(request.request_id, asked, arrived, outcome)
+            self._log_end(request.request_id, parsed, arrived, outcome)
             return outcome_reply(start_response, outcome, request.request_id)
         headers = [
             ("Content-Type", "text/event-stream"),
@@ -271,12 +271,12 @@
         return self.admission.retry_after(request.pipeline)
 
     def _log_end(
-        self, request_id: str, asked: CallerRequest, arrived: float, outcome: Outcome
+        self, request_id: str, parsed: CallerRequest, arrived: float, outcome: Outcome
     ) -> None:
         failure = getattr(outcome, "failure", None)
         name = type(outcome).__name__.lower()
         seconds = self.clock.now() - arrived
-        account, pipeline = asked.account.name, asked.pipeline.name
+        account, pipeline = parsed.account.name, parsed.pipeline.name
         self.observations.request_ended(account, pipeline, name, seconds)
         emit(
             Event.REQUEST_ENDED,
@@ -289,6 +289,6 @@
         )
 
 
-def _fingerprint(asked: CallerRequest) -> bytes:
-    body = msgspec.json.encode(asked.body, order="sorted")
-    return fingerprint(asked.account.name, asked.pipeline.name, body)
+def _fingerprint(parsed: CallerRequest) -> bytes:
+    body = msgspec.json.encode(parsed.body, order="sorted")
+    return fingerprint(parsed.account.name, parsed.pipeline.name, body)
--- a/boragestream/caller/channel.py
+++ b/boragestream/caller/channel.py
@@ -1,8 +1,8 @@
-"""A waitress channel that sends at once what it can.
+"""A waitress channel that writes output directly to the socket where possible.
 
-waitress copies all output through a buffer. A streamed token is small and its socket
-nearly always takes it whole, so that it is sent directly here; what the socket does not
-take goes through the buffer as usual.
+waitress copies all output through a buffer. A streamed token is small and the socket
+nearly always accepts it whole, so this channel sends it directly. Bytes that the socket
+does not accept go through the buffer as usual.
 """
 
 import time
@@ -17,7 +17,7 @@
     """One connection of a caller."""
 
     def write_soon(self, data: Any) -> int:
-        """Send data now or soon; return its length."""
+        """Send data, buffering what the socket does not accept; return its length."""
         rest = data
         if isinstance(data, bytes) and data:
             rest = data[self._send_now(data) :]
@@ -26,14 +26,14 @@
         return len(data)
 
     def _send_now(self, data: bytes) -> int:
-        """Return how many bytes the socket took; 0 where others must go first."""
+        """Return how many bytes the socket accepted; 0 if buffered output precedes."""
         with self.outbuf_lock:
             if self.total_outbufs_len or not self.connected:
                 return 0
             try:
                 sent = self.send(data, do_close=False)
             except OSError:
-                # The buffered way meets the same error and deals with it.
+                # The buffered write raises the same error, and waitress handles it.
                 return 0
             self.last_activity = time.time()
             return sent
--- a/boragestream/caller/connections.py
+++ b/boragestream/caller/connections.py
@@ -1,8 +1,8 @@
-"""One connection of a caller, on top of the strict channel.
+"""A caller's connection, built on the strict channel.
 
-It notes when a request began to arrive, ends a wait for a caller that does not read
-once the request's deadline has passed, and closes kept connections while the entry is
-leaving. The server itself is set up in ``caller.server``.
+It records when a request began to arrive, stops blocking on a caller that does not read
+once the request's deadline has passed, and closes keep-alive connections while the
+entry is leaving. ``caller.server`` configures the server.
 """
 
 from typing import Any
@@ -23,12 +23,12 @@
     """One request of a connection."""
 
     def get_environment(self) -> dict[str, Any]:
-        """Return the WSGI environment with what the application needs besides.
+        """Return the WSGI environment, extended by three keys for the application.
 
-        ``ARRIVED`` is the clock's seconds at the request's first byte, so that time
-        in waitress' own queue counts; ``STOP_WAITING`` is called without arguments
-        when the deadline has passed; ``RAW_HEADERS`` holds the headers under names in
-        capitals with underscores.
+        ``ARRIVED`` holds the clock's seconds at the request's first byte, so that time
+        in waitress' own queue counts. ``STOP_WAITING`` holds a function without
+        arguments that is called when the deadline has passed. ``RAW_HEADERS`` holds
+        the headers by name, in upper case with underscores.
         """
         environ = super().get_environment()
         environ[ARRIVED] = self.request.arrived
@@ -38,7 +38,7 @@
         return environ
 
     def build_response_header(self) -> bytes:
-        """Return the head, which closes the connection while the entry is leaving."""
+        """Return the response head; close the connection if the entry is leaving."""
         if self.channel.server.leaving:
             self.set_close_on_finish()
         return super().build_response_header()
@@ -48,7 +48,7 @@
     """One connection of a caller."""
 
     task_class = CallerTask
-    _waits = True
+    _blocks_on_output = True
 
     @property
     def busy(self) -> bool:
@@ -56,25 +56,29 @@
         return bool(self.requests or self.request or self.total_outbufs_len)
 
     def parser_class(self, adjustments: Adjustments) -> StrictParser:
-        """Return the parser of a request whose first bytes are there."""
+        """Return the parser of a request whose first bytes have arrived."""
         request = StrictParser(adjustments)
         request.arrived = self.server.clock.now()
         return request
 
     def begin_waiting(self) -> None:
-        """Have output wait for the caller again."""
-        self._waits = True
+        """Let writes block until the caller reads."""
+        self._blocks_on_output = True
 
     def stop_waiting(self) -> None:
-        """Wait no longer until the caller reads what was written."""
-        self._waits = False
+        """Stop blocking writes until the caller reads, and wake a blocked one."""
+        self._blocks_on_output = False
         with self.outbuf_lock:
             self.outbuf_lock.notify_all()
 
     def _flush_outbufs_below_high_watermark(self) -> None:
-        """Wait for the caller to read, but not for ever as waitress does."""
+        """Block until the caller reads or waiting stops; waitress has no bound."""
         limit = self.adj.outbuf_high_watermark
         with self.outbuf_lock:
-            while self.connected and self._waits and self.total_outbufs_len > limit:
+            while (
+                self.connected
+                and self._blocks_on_output
+                and self.total_outbufs_len > limit
+            ):
                 self.server.pull_trigger()
                 self.outbuf_lock.wait()
--- a/boragestream/caller/directory.py
+++ b/boragestream/caller/directory.py
@@ -1,7 +1,7 @@
-"""The small application that tells callers where to connect, and the platform whether.
+"""The application that serves entry addresses to callers and readiness to the platform.
 
-It is served on addresses of its own, so that questions are answered while requests
-fill the entry.
+It listens on separate addresses, so that it answers even while requests occupy all of
+the entry's threads.
 """
 
 import random
@@ -14,38 +14,38 @@
 
 __all__ = ["DirectoryApplication", "DirectoryFormat"]
 
-# Callers use no more addresses of one answer.
-MOST_ADDRESSES = 64
+# Callers use at most this many addresses of one answer.
+MAX_ADDRESSES = 64
 
 
 class DirectoryFormat(Protocol):
-    """The paths of the questions, and the form of the answers."""
+    """The paths of the directory's endpoints and the format of its answers."""
 
     @property
     def ready_path(self) -> str:
-        """The path under which the platform asks whether the entry is ready."""
+        """The path of the platform's readiness check."""
 
     @property
     def directory_path(self) -> str:
-        """The path under which callers ask for addresses."""
+        """The path from which callers fetch addresses."""
 
     def caller_region(self, query: str) -> str:
-        """Return the region that a question names; empty for none."""
+        """Return the region that a query names; empty for none."""
 
     def directory_body(self, addresses: Sequence[str], keep_seconds: float) -> object:
-        """Return the answer to a caller, JSON data."""
+        """Return the JSON data of the answer to a caller."""
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryApplication:
     """Answers callers and the platform.
 
-    :ivar ready: tells whether this entry serves requests.
-    :ivar addresses: returns the callers' addresses of the entries that serve, given the
-        caller's region; empty where it does not tell.
-    :ivar keep_seconds: how long a caller may keep an answer.
+    :ivar ready: returns whether this entry serves requests.
+    :ivar addresses: returns the addresses for callers of the entries that serve, given
+        the caller's region; the region is empty if the caller names none.
+    :ivar keep_seconds: how long a caller may cache an answer.
     :ivar metrics: returns the metrics as text.
-    :ivar metrics_path: where they are served; empty for nowhere.
+    :ivar metrics_path: the path of the metrics; empty if they are not served.
     """
 
     format: DirectoryFormat
@@ -72,11 +72,11 @@
         return json_reply(start_response, {}, HTTPStatus.NOT_FOUND)
 
     def _directory(self, region: str, start_response: StartResponse) -> Iterable[bytes]:
-        known = list(self.addresses(region))
-        if not known:
+        addresses = list(self.addresses(region))
+        if not addresses:
             unavailable = HTTPStatus.SERVICE_UNAVAILABLE
             return json_reply(start_response, {}, unavailable)
-        chosen = self.rng.sample(known, min(len(known), MOST_ADDRESSES))
+        chosen = self.rng.sample(addresses, min(len(addresses), MAX_ADDRESSES))
         body = self.format.directory_body(chosen, self.keep_seconds)
         return json_reply(start_response, body)
 
--- a/boragestream/caller/failures.py
+++ b/boragestream/caller/failures.py
@@ -1,7 +1,7 @@
-"""The failures that a caller's own request can have.
+"""The failures caused by a caller's own request.
 
-Each stands for a refusal: nothing was run. None repeats what the caller sent, which
-could be a key in the wrong place.
+Each leads to a refusal, so nothing was run. None echoes what the caller sent, which
+could contain a key in the wrong place.
 """
 
 from dataclasses import dataclass
@@ -60,7 +60,7 @@
 class MalformedBody(Failure):
     """The body is not the JSON object that is asked for.
 
-    :ivar reason: what is wrong with it.
+    :ivar reason: what is wrong with the body.
     """
 
     reason: str
@@ -70,7 +70,7 @@
 class MalformedHeader(Failure):
     """A header's value can't be used.
 
-    :ivar header: its name.
+    :ivar header: the header's name.
     """
 
     header: str
--- a/boragestream/caller/forwarded_stream.py
+++ b/boragestream/caller/forwarded_stream.py
@@ -1,6 +1,6 @@
-"""The events of a forwarded stream on their way to its caller.
+"""Sends the events of a forwarded stream to its caller.
 
-Where they come from, and from which servers, is told by ``serving.forwarder``.
+``serving.forwarder`` chooses the servers and produces the events.
 """
 
 from collections.abc import Iterator
@@ -11,11 +11,11 @@
 from boragestream.base.outcomes import Failure
 from boragestream.serving.forwarded_run import ForwardedRun
 
-__all__ = ["ForwardedStream", "StreamCutError", "StreamOwner", "StreamPace"]
+__all__ = ["ForwardedStream", "StreamCutError", "StreamOwner", "StreamTiming"]
 
 
-class StreamPace:
-    """When the events of a stream went out, for its last log line."""
+class StreamTiming:
+    """Times at which a stream's events were sent, for its final log line."""
 
     def __init__(self) -> None:
         self._first_at: float | None = None
@@ -24,11 +24,11 @@
 
     @property
     def longest_pause(self) -> float:
-        """The longest time between two of them, in seconds."""
+        """The longest time between two events, in seconds."""
         return self._longest_pause
 
-    def note(self, now: float) -> None:
-        """Take that events go out now."""
+    def record(self, now: float) -> None:
+        """Record that events are sent now."""
         if self._first_at is None:
             self._first_at = now
         else:
@@ -36,18 +36,18 @@
         self._last_at = now
 
     def first_ms(self, arrived: float) -> int | None:
-        """Return the milliseconds to the first event; None where there was none."""
+        """Return the milliseconds to the first event; None if there was none."""
         first = self._first_at
         return int((first - arrived) * 1000) if first is not None else None
 
 
 class StreamOwner(Protocol):
-    """What a stream needs of the application that answers with it."""
+    """The part of the application that a stream calls."""
 
     clock: Clock
 
     def release(self, run: ForwardedRun) -> None:
-        """Take that a request is in hand no longer."""
+        """Release a request that is no longer being served."""
 
     def log_end(
         self,
@@ -55,7 +55,7 @@
         outcome: str,
         status: int,
         failure: Failure | None,
-        pace: StreamPace | None = None,
+        timing: StreamTiming | None = None,
     ) -> None:
         """Log and count how a request ended."""
 
@@ -72,7 +72,7 @@
         self._owner = owner
         self._run = run
         self._events = events
-        self._pace = StreamPace()
+        self._timing = StreamTiming()
         self._ended = False
         self._released = False
 
@@ -80,15 +80,15 @@
         for part in self._events:
             if isinstance(part, Failure):
                 self._end("abandoned" if isinstance(part, CallerGone) else "cut", part)
-                # waitress closes the connection without the end of the answer, so that
-                # the caller sees that it is not whole.
+                # waitress then closes the connection without the end of the answer, so
+                # that the caller detects the truncation.
                 raise StreamCutError
-            self._pace.note(self._owner.clock.now())
+            self._timing.record(self._owner.clock.now())
             yield part
         self._end("answered", None)
 
     def close(self) -> None:
-        """Release what the stream holds; waitress calls it in every case."""
+        """Release the stream's resources; waitress always calls this."""
         self._events.close()
         if not self._released:
             self._released = True
@@ -98,8 +98,8 @@
     def _end(self, outcome: str, failure: Failure | None) -> None:
         if not self._ended:
             self._ended = True
-            self._owner.log_end(self._run, outcome, 200, failure, self._pace)
+            self._owner.log_end(self._run, outcome, 200, failure, self._timing)
 
 
 class StreamCutError(Exception):
-    """A stream ends before its end mark."""
+    """A stream ended before its end mark."""
--- a/boragestream/caller/forwarding.py
+++ b/boragestream/caller/forwarding.py
@@ -1,9 +1,9 @@
-"""The application of callers whose requests are forwarded byte for byte.
+"""The WSGI application that forwards callers' requests byte for byte.
 
-Every answer of the system's own tells by its status whether the request ran: 429 and
-503 promise that it did not and never will, 502 and 504 promise nothing. How requests
-and answers are put on the wire is told by the ``RequestFormat`` that the daemon hands
-in.
+The status of each answer that the entry itself generates states whether the request
+ran: 429 and 503 guarantee that it did not and never will, 502 and 504 guarantee
+nothing. The ``RequestFormat`` that the daemon passes in defines the wire format of
+requests and answers.
 """
 
 import threading
@@ -26,7 +26,7 @@
 from boragestream.base.route_metrics import RouteMetrics
 from boragestream.caller.connections import ARRIVED, RAW_HEADERS, STOP_WAITING
 from boragestream.caller.failures import BodyTooLong
-from boragestream.caller.forwarded_stream import ForwardedStream, StreamPace
+from boragestream.caller.forwarded_stream import ForwardedStream, StreamTiming
 from boragestream.caller.replies import StartResponse
 from boragestream.document.calls import ForwardedRequest, RequestMalformed
 from boragestream.policy.fingerprints import request_fingerprint
@@ -47,18 +47,18 @@
 Environ = dict[str, Any]
 Reply = Iterable[bytes]
 
-OWN_FAULT_STATUS: dict[type[Failure], HTTPStatus] = {
+REFUSED_STATUS: dict[type[Failure], HTTPStatus] = {
     RouteUnknown: HTTPStatus.NOT_FOUND,
     KeyUnknown: HTTPStatus.UNAUTHORIZED,
     RequestMalformed: HTTPStatus.BAD_REQUEST,
     BodyTooLong: HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
 }
-# Where the entry itself is the reason, another one can serve the caller at once.
-ELSEWHERE_SECONDS = 0.05
+# If the entry itself is the reason, another entry can serve the caller at once.
+OTHER_ENTRY_RETRY_SECONDS = 0.05
 
 
 class RequestFormat(Protocol):
-    """How callers' requests and the system's own answers are put on the wire."""
+    """The wire format of callers' requests and of the entry's own answers."""
 
     def read_request(
         self, method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes
@@ -68,11 +68,11 @@
     def refusal_headers(
         self, request_id: str, retry_after: float | None
     ) -> list[tuple[str, str]]:
-        """Return the headers of an answer of the system's own."""
+        """Return the headers of an answer that the entry generates."""
 
 
 class InHand:
-    """How many requests are being served."""
+    """Counts the requests that are being served."""
 
     def __init__(self) -> None:
         self._count = 0
@@ -80,7 +80,7 @@
 
     @property
     def count(self) -> int:
-        """The requests in hand."""
+        """The number of requests being served."""
         return self._count
 
     def begin(self) -> None:
@@ -98,11 +98,12 @@
 class ForwardingApplication:
     """The application; waitress calls it in a thread for each request.
 
-    :ivar first: what is done with requests until the platform has answered.
-    :ivar refusing: tells whether new requests are refused since the entry stops.
+    :ivar first: holds requests until the platform has first answered.
+    :ivar refusing: returns whether new requests are refused because the entry stops.
     :ivar in_hand: counts the requests that are being served.
-    :ivar limit: with as many in hand, further requests are refused at once.
-    :ivar used: told of each request, since it is decided by what is published.
+    :ivar limit: the number of requests in service at which further ones are refused.
+    :ivar used: called for each request, because published values determine its
+        handling.
     """
 
     routes: RoutesInForce
@@ -123,8 +124,8 @@
             return self._answer(environ, start_response)
         except Exception as error:
             emit(Event.REQUEST_BROKEN, request="", error=describe_error(error))
-            # What may have run is not known here.
-            return self._own_answer(start_response, "", Unknown(EntryBroken(), ""))
+            # The request may have run before the error.
+            return self._error_reply(start_response, "", Unknown(EntryBroken(), ""))
 
     def _answer(self, environ: Environ, start_response: StartResponse) -> Reply:
         arrived = environ.get(ARRIVED, self.clock.now())
@@ -133,24 +134,24 @@
         table = self.routes.current
         if table is None:
             refused = Refused(NoConfiguration(), self.first.return_seconds())
-            return self._own_answer(start_response, "", refused)
+            return self._error_reply(start_response, "", refused)
         request = self._read(environ, table.document.limits.body_bytes)
         if isinstance(request, Failure):
-            return self._own_answer(start_response, "", Refused(request))
+            return self._error_reply(start_response, "", Refused(request))
         if self.refusing():
-            refused = Refused(EntryLeaving(), ELSEWHERE_SECONDS)
-            return self._own_answer(start_response, request.request_id, refused)
+            refused = Refused(EntryLeaving(), OTHER_ENTRY_RETRY_SECONDS)
+            return self._error_reply(start_response, request.request_id, refused)
         if self.in_hand.count >= self.limit:
-            refused = Refused(QueueFull(self.in_hand.count), ELSEWHERE_SECONDS)
-            return self._own_answer(start_response, request.request_id, refused)
+            refused = Refused(QueueFull(self.in_hand.count), OTHER_ENTRY_RETRY_SECONDS)
+            return self._error_reply(start_response, request.request_id, refused)
         route = table.route(request.host, request.path)
         if isinstance(route, Failure):
             refused = Refused(route)
-            return self._own_answer(start_response, request.request_id, refused)
+            return self._error_reply(start_response, request.request_id, refused)
         account = table.account(route, request.key)
         if isinstance(account, Failure):
             refused = Refused(account)
-            return self._own_answer(start_response, request.request_id, refused)
+            return self._error_reply(start_response, request.request_id, refused)
         wait = route.timeout_seconds
         if request.wait_seconds is not None:
             wait = min(wait, request.wait_seconds)
@@ -207,17 +208,17 @@
             start_response(_status(answer.head.status, answer.head.reason), headers)
             return [answer.body]
         outcome = outcome_of(run, answer)
-        name, status = type(outcome).__name__.lower(), _own_status(outcome)
+        name, status = type(outcome).__name__.lower(), _error_status(outcome)
         self.log_end(run, name, int(status), answer)
-        return self._own_answer(start_response, request_id, outcome)
+        return self._error_reply(start_response, request_id, outcome)
 
-    def _own_answer(
+    def _error_reply(
         self,
         start_response: StartResponse,
         request_id: str,
         outcome: Refused | Failed | Unknown,
     ) -> Reply:
-        status = _own_status(outcome)
+        status = _error_status(outcome)
         wait = getattr(outcome, "retry_after", None)
         promised = status in (
             HTTPStatus.SERVICE_UNAVAILABLE,
@@ -233,7 +234,7 @@
         return [body]
 
     def release(self, run: ForwardedRun) -> None:
-        """Take that a request is in hand no longer."""
+        """Release a request that is no longer being served."""
         self.watchdog.close(run.scope)
         self.in_hand.end()
 
@@ -243,11 +244,11 @@
         outcome: str,
         status: int,
         failure: Failure | None,
-        pace: StreamPace | None = None,
+        timing: StreamTiming | None = None,
     ) -> None:
         """Log and count how a request ended.
 
-        :param pace: how its events came; None where it was no stream.
+        :param timing: when its events were sent; None if it was not a stream.
         """
         seconds = self.clock.now() - run.arrived
         wait = run.request.wait_seconds
@@ -267,16 +268,16 @@
             status=status,
             milliseconds=int(seconds * 1000),
             wait_ms=int(wait * 1000) if wait is not None else None,
-            first_ms=pace.first_ms(run.arrived) if pace is not None else None,
-            pause_ms=int(pace.longest_pause * 1000) if pace is not None else None,
+            first_ms=timing.first_ms(run.arrived) if timing is not None else None,
+            pause_ms=int(timing.longest_pause * 1000) if timing is not None else None,
             failure=failure.describe() if failure is not None else None,
         )
 
 
-def _own_status(outcome: Refused | Failed | Unknown) -> HTTPStatus:
+def _error_status(outcome: Refused | Failed | Unknown) -> HTTPStatus:
     failure = outcome.failure
     if isinstance(outcome, Refused):
-        status = OWN_FAULT_STATUS.get(type(failure))
+        status = REFUSED_STATUS.get(type(failure))
         return status or HTTPStatus.SERVICE_UNAVAILABLE
     if isinstance(failure, DeadlinePassed):
         return HTTPStatus.GATEWAY_TIMEOUT
--- a/boragestream/caller/pages.py
+++ b/boragestream/caller/pages.py
@@ -1,6 +1,6 @@
-"""The pages that an entry answers from what it holds: entries, status and document.
+"""The pages that an entry serves from its own state: entries, status and document.
 
-None of them is admitted or waits, so that they answer under any load.
+They bypass admission and never wait, so that they answer under any load.
 """
 
 from collections.abc import Callable
@@ -26,9 +26,10 @@
 class Pages:
     """The pages.
 
-    :ivar entries_for: returns the answer to which entries an account shall use.
+    :ivar entries_for: returns the list of entries that an account should use.
     :ivar status: returns the entry's status page.
-    :ivar operator_digests: of the keys that may read the status and the document.
+    :ivar operator_digests: digests of the keys that may read the status and the
+        document.
     """
 
     configuration: ConfigurationInForce
--- a/boragestream/caller/protocol.py
+++ b/boragestream/caller/protocol.py
@@ -1,9 +1,9 @@
-"""Stricter HTTP than waitress asks for, and its errors as problem documents.
+"""Stricter HTTP parsing than waitress', with errors as problem documents.
 
-A request whose length can be read in two ways is refused, because somebody between
-the caller and the entry could read it the other way. A request must arrive whole
-within a limit, however slowly its bytes come. Nothing of what a caller sent stands in
-an error, since it could be a key.
+A request of ambiguous length is refused, because a proxy between the caller and the
+entry could interpret it differently. A request must arrive completely within a time
+limit, however slowly its bytes come. Errors contain nothing that a caller sent, since
+it could be a key.
 """
 
 import re
@@ -34,14 +34,14 @@
 
 
 class _ProblemError(Error):
-    """An error of waitress as the problem document of a refusal."""
+    """An error of waitress, rendered as the problem document of a refusal."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(failure.code)
         self._report = problem(Refused(failure), new_request_id())
 
     def to_response(self, ident: str | None = None) -> tuple[str, list, bytes]:
-        """Return status, headers and body, as waitress asks for them."""
+        """Return status, headers and body in the form that waitress expects."""
         report = self._report
         status = f"{report.status} {report.title}"
         headers = [
@@ -52,10 +52,10 @@
 
 
 class StrictParser(HTTPRequestParser):
-    """Refuses what has two readings, and answers with problem documents."""
+    """Refuses ambiguous requests and reports errors as problem documents."""
 
     def received(self, data: bytes) -> int:
-        """Take bytes of a request; return how many were used."""
+        """Parse bytes of a request; return how many were consumed."""
         used = super().received(data)
         if self.error is not None and not isinstance(self.error, _ProblemError):
             self.error = _ProblemError(_failure(self.error, self.adj))
@@ -66,7 +66,7 @@
         super().parse_header(header_plus)
         if FOLDED_LINE.search(header_plus):
             raise ParsingError("folded header")
-        # waitress takes the encoding out of the headers where it understands it.
+        # waitress removes the encoding from the headers if it supports it.
         encoded = self.chunked or "TRANSFER_ENCODING" in self.headers
         if encoded and ("CONTENT_LENGTH" in self.headers or self.version == "1.0"):
             raise ParsingError("two lengths")
@@ -78,21 +78,21 @@
     parser_class = StrictParser
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
-        self._began: float | None = None
+        self._request_start: float | None = None
         super().__init__(*arguments, **options)
 
     def handle_read(self) -> None:
-        """Read what is there.
+        """Read the available bytes.
 
-        While a request is half there, its first byte counts as the last activity, so
-        that the channel timeout bounds the whole reading.
+        Until a request is complete, the time of its first byte counts as the last
+        activity, so that the channel timeout bounds the reading of the whole request.
         """
         super().handle_read()
         if self.request is None:
-            self._began = None
+            self._request_start = None
             return
-        self._began = self._began or self.last_activity
-        self.last_activity = self._began
+        self._request_start = self._request_start or self.last_activity
+        self.last_activity = self._request_start
 
 
 def _failure(error: Error, adj: Any) -> Failure:
--- a/boragestream/caller/reading.py
+++ b/boragestream/caller/reading.py
@@ -1,4 +1,4 @@
-"""Reads what a caller sent and checks it, before anything is run."""
+"""Parses and validates a caller's request before anything is run."""
 
 import hashlib
 from collections.abc import Callable, Collection
@@ -45,10 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A checked request of a caller.
+    """A validated request of a caller.
 
-    :ivar deadline_ms: milliseconds left when it arrived.
-    :ivar stream: whether the answer shall come as server-sent events.
+    :ivar deadline_ms: milliseconds left when the request arrived.
+    :ivar stream: whether the caller wants the answer as server-sent events.
     """
 
     account: ClientAccount
@@ -68,7 +68,7 @@
 def check_operator(
     environ: dict[str, Any], key_digests: Collection[str]
 ) -> WrongKey | None:
-    """Return None where the request carries the key of an operator."""
+    """Return None if the request carries an operator's key."""
     return None if _key_digest(environ) in key_digests else WrongKey()
 
 
@@ -90,7 +90,7 @@
     in_force: DocumentInForce,
     max_body_bytes: int,
 ) -> CallerRequest | Failure:
-    """Read and check a request for a pipeline."""
+    """Parse and validate a request for a pipeline."""
     account = find_account(environ, in_force)
     if isinstance(account, Failure):
         return account
@@ -113,16 +113,16 @@
 
 
 def _key_digest(environ: dict[str, Any]) -> str:
-    """Return the digest of the bearer key; empty where there is none.
+    """Return the digest of the bearer key; empty if there is none.
 
-    Keys are compared by their digests, so that the time of a comparison says nothing
+    Keys are compared by their digests, so that the time of a comparison reveals nothing
     about a key.
     """
     given = environ.get("HTTP_AUTHORIZATION", "")
     if not given.startswith(BEARER):
         return ""
     key = given.removeprefix(BEARER).strip()
-    # WSGI hands headers over as latin-1, whatever their bytes were.
+    # WSGI decodes headers as latin-1, whatever their bytes are.
     return hashlib.sha256(key.encode("latin-1", "replace")).hexdigest()
 
 
--- a/boragestream/caller/refusals.py
+++ b/boragestream/caller/refusals.py
@@ -1,7 +1,7 @@
-"""Refusals of what is turned down before it reaches admission.
+"""Refusals of requests before they reach admission.
 
-Only a failure that passes by itself says when to come back; for any other the same
-request would be refused again.
+Only a transient failure carries a retry time; after any other failure the same request
+would be refused again.
 """
 
 from dataclasses import dataclass
@@ -15,27 +15,27 @@
 
 __all__ = ["Refusals"]
 
-PASSING = NoConfiguration | EntryLeaving | TicketsExhausted
+TRANSIENT_FAILURES = NoConfiguration | EntryLeaving | TicketsExhausted
 
 
 @dataclass(frozen=True, slots=True)
 class Refusals:
-    """Refuses with the time to come back that admission would give."""
+    """Refuses requests with the retry time that admission would give."""
 
     admission: Admission
 
     def full(self, limit: int, pipeline: Pipeline) -> Refused:
-        """Return the refusal of a request for which there is no thread.
+        """Return the refusal of a request for which no thread is free.
 
-        :param limit: how many requests hold the threads.
+        :param limit: the number of requests that occupy the threads.
         """
         return Refused(QueueFull(limit), self.admission.retry_after(pipeline))
 
     def reply(
         self, start_response: StartResponse, request_id: str, failure: Failure
     ) -> list[bytes]:
-        """Answer that a request is refused."""
-        passing = isinstance(failure, PASSING)
-        retry_after = self.admission.retry_unknown() if passing else None
+        """Reply that a request is refused."""
+        transient = isinstance(failure, TRANSIENT_FAILURES)
+        retry_after = self.admission.retry_unknown() if transient else None
         refused = Refused(failure, retry_after)
         return outcome_reply(start_response, refused, request_id)
--- a/boragestream/caller/replies.py
+++ b/boragestream/caller/replies.py
@@ -1,4 +1,4 @@
-"""Puts outcomes on the wire: JSON answers and problem documents (RFC 9457)."""
+"""Encodes outcomes as JSON answers and problem documents (RFC 9457)."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -64,8 +64,8 @@
     """A problem document.
 
     :ivar type: ``urn:boragestream:OUTCOME:FAILURE``.
-    :ivar retry_after_ms: when to come back; missing where it can't help.
-    :ivar ask: where to ask what became of the request.
+    :ivar retry_after_ms: delay before a retry; absent if a retry can't succeed.
+    :ivar ask: the path that returns the request's state.
     """
 
     type: str
@@ -113,7 +113,7 @@
     headers: Iterable[tuple[str, str]] = (),
     content_type: str = "application/json",
 ) -> list[bytes]:
-    """Answer with JSON."""
+    """Reply with JSON."""
     content = msgspec.json.encode(body, enc_hook=str)
     sent = [
         ("Content-Type", content_type),
@@ -127,7 +127,7 @@
 def outcome_reply(
     start_response: StartResponse, outcome: Outcome, request_id: str
 ) -> list[bytes]:
-    """Answer with an outcome."""
+    """Reply with an outcome."""
     headers = [("X-Request-Id", request_id)]
     if isinstance(outcome, Answered):
         body = {"request_id": request_id, "outcome": "answered", "result": outcome.body}
--- a/boragestream/caller/server.py
+++ b/boragestream/caller/server.py
@@ -1,4 +1,4 @@
-"""Sets up waitress for callers."""
+"""Configures the waitress server for callers."""
 
 import logging
 import socket
@@ -18,11 +18,11 @@
 
 MAX_HEADER_BYTES = 16384
 SPARE_CONNECTIONS = 512
-# What is written and not yet read by a caller before its stream waits.
+# Unread output of a caller, in bytes, above which writes to its stream block.
 UNREAD_BYTES = 262_144
 BACKLOG = 1024
 CLEANUP_SECONDS = 1
-# Instances have no disks: nothing is ever spooled to a file.
+# Instances have no disks, so waitress must never spool to a file.
 NEVER_SPOOLED_BYTES = 1 << 40
 
 
@@ -34,16 +34,16 @@
 ) -> BaseWSGIServer:
     """Return a server bound to the address of the settings, not yet running.
 
-    Request lookahead is on, so that an application can learn that its caller has
+    Request lookahead is enabled, so that an application can detect that its caller has
     closed the connection.
 
-    :param clock: tells when requests arrive.
-    :param listening: a socket that listens already, in place of the address.
+    :param clock: gives the arrival times of requests.
+    :param listening: a listening socket to use in place of the address.
     """
     place: dict[str, Any] = {"host": settings.address, "port": settings.port}
     if listening is not None:
         place = {"sockets": [listening]}
-    _send_complaints_to_events()
+    _send_waitress_logs_to_events()
     server = waitress.create_server(
         application,
         **place,
@@ -54,7 +54,7 @@
         channel_timeout=settings.read_seconds,
         cleanup_interval=CLEANUP_SECONDS,
         max_request_header_size=MAX_HEADER_BYTES,
-        # waitress refuses a body of this size, not only a longer one.
+        # waitress refuses a body of exactly this size too.
         max_request_body_size=settings.max_body_bytes + 1,
         inbuf_overflow=NEVER_SPOOLED_BYTES,
         outbuf_overflow=NEVER_SPOOLED_BYTES,
@@ -71,12 +71,12 @@
 
 
 def leave(server: BaseWSGIServer) -> None:
-    """Close each kept connection with its next answer."""
+    """Close each keep-alive connection after its next answer."""
     server.leaving = True
 
 
 def stop_listening(server: BaseWSGIServer) -> None:
-    """Accept what has connected already and refuse further connections."""
+    """Accept connections that are already pending and refuse further ones."""
 
     def accept_and_close() -> None:
         for _ in range(BACKLOG):
@@ -87,16 +87,16 @@
 
 
 def busy_connections(server: BaseWSGIServer) -> int:
-    """Return how many connections have a request that is not answered whole."""
+    """Return how many connections have a request not yet answered completely."""
     channels = list(server.active_channels.values())
     return sum(channel.busy for channel in channels)
 
 
-class _ComplaintHandler(logging.Handler):
-    """Emits an event for what waitress logs.
+class _WaitressLogHandler(logging.Handler):
+    """Emits an event for each log record of waitress.
 
-    Its messages can name paths, and a path can hold a key; so the event names the
-    place in waitress only.
+    Its messages can contain paths, and a path can contain a key, so the event names
+    only the module and function in waitress.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -106,8 +106,8 @@
         emit(Event.HTTP_COMPLAINT, level=record.levelname, place=place, error=error)
 
 
-def _send_complaints_to_events() -> None:
+def _send_waitress_logs_to_events() -> None:
     logger = logging.getLogger("waitress")
     logger.propagate = False
     logger.setLevel(logging.WARNING)
-    logger.handlers = [_ComplaintHandler()]
+    logger.handlers = [_WaitressLogHandler()]
--- a/boragestream/caller/status.py
+++ b/boragestream/caller/status.py
@@ -1,7 +1,7 @@
-"""The status page of an entry, as its records.
+"""The records of an entry's status page.
 
-Its reader is an operator; the page names client accounts, backend servers and peers
-but never a key or the content of a request. Collecting it is left to the daemon.
+The page is for operators. It names client accounts, backend servers and peers but never
+a key or the content of a request. The daemon collects its values.
 """
 
 from dataclasses import dataclass
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReport:
-    """What an entry believes of a backend server.
+    """The state of a backend server as an entry sees it.
 
     :ivar state: ``live``, ``suspect``, ``leaving`` or ``gone``.
-    :ivar in_progress: calls that this entry has open there.
+    :ivar in_progress: open calls of this entry to the server.
     :ivar smoothed_ms: the smoothed time of a call in milliseconds.
-    :ivar limit: requests a second that it takes from all entries together; None for
-        any number.
+    :ivar limit: requests per second that it accepts from all entries together; None
+        if unlimited.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerReport:
-    """What an entry believes of another entry."""
+    """The state of another entry as this entry sees it."""
 
     name: str
     host: str
@@ -45,17 +45,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusPage:
-    """The whole page.
+    """The status page.
 
-    :ivar version: of the document in force, 0 for none.
-    :ivar digest: of the document in force, empty for none.
+    :ivar version: version of the document in force, 0 for none.
+    :ivar digest: digest of the document in force, empty for none.
     :ivar leaving: whether the entry is stopping.
-    :ivar in_hand: admitted requests that have not ended.
-    :ivar queued: requests in hand that have not begun.
-    :ivar windows: by service, the most requests under way and how many there are.
-    :ivar accounts: by client account.
-    :ivar stages: by ``PIPELINE.STAGE``.
-    :ivar costs: by client account, then by ``PIPELINE.STAGE``.
+    :ivar in_hand: number of admitted requests that have not ended.
+    :ivar queued: number of admitted requests that have not begun.
+    :ivar windows: maximum and current number of requests in progress, by service.
+    :ivar accounts: reports by client account.
+    :ivar stages: reports by ``PIPELINE.STAGE``.
+    :ivar costs: costs by client account, then by ``PIPELINE.STAGE``.
     """
 
     entry: str
--- a/boragestream/caller/streaming.py
+++ b/boragestream/caller/streaming.py
@@ -1,7 +1,7 @@
 """Relays a streamed answer to the caller as server-sent events.
 
 The stream closes with an ``end`` event that carries counts, or with an ``error``
-event; one that closes without either was cut.
+event; a stream that closes without either was truncated.
 """
 
 from collections.abc import Callable, Iterator
@@ -26,8 +26,8 @@
 class StreamEnd(msgspec.Struct):
     """The data of the ``end`` event.
 
-    :ivar tokens: how many token events came before.
-    :ivar characters: how many characters they held together.
+    :ivar tokens: the number of token events sent before.
+    :ivar characters: the total number of characters in them.
     """
 
     request_id: str
@@ -40,21 +40,21 @@
     """The events of a streamed answer, as waitress iterates over them.
 
     :param answer: the open answer of the last stage.
-    :param request: the request that it answers.
-    :param retry_after: returns when a caller whose answer was cut shall come back.
-    :param ended: told the outcome exactly once, also when the caller goes away.
+    :param request: the request that is answered.
+    :param retry_after: returns the retry delay for a caller whose answer was truncated.
+    :param on_end: called with the outcome exactly once, also if the caller disconnects.
     """
 
     def __init__(
         self,
         answer: OpenAnswer,
         request: RequestRecord,
-        ended: Callable[[Outcome], None],
+        on_end: Callable[[Outcome], None],
         retry_after: Callable[[RequestRecord], float],
     ) -> None:
         self._answer = answer
         self._request = request
-        self._ended: Callable[[Outcome], None] | None = ended
+        self._on_end: Callable[[Outcome], None] | None = on_end
         self._retry_after = retry_after
 
     def __iter__(self) -> Iterator[bytes]:
@@ -76,16 +76,16 @@
         yield _event("end", end)
 
     def close(self) -> None:
-        """Release what the answer holds; waitress calls it in every case."""
+        """Release the answer's resources; waitress always calls this."""
         self._answer.close()
-        if self._ended is not None:
+        if self._on_end is not None:
             retry_after = self._retry_after(self._request)
             self._end(self._request.outcome_of(CallerGone(), retry_after))
 
     def _end(self, outcome: Outcome) -> None:
-        ended, self._ended = self._ended, None
-        if ended is not None:
-            ended(outcome)
+        on_end, self._on_end = self._on_end, None
+        if on_end is not None:
+            on_end(outcome)
 
 
 def _cause(failure: Failure) -> Failure:
--- a/boragestream/caller/ticket_runs.py
+++ b/boragestream/caller/ticket_runs.py
@@ -1,7 +1,8 @@
-"""Runs calls under tickets that this entry issued, and says what became of them.
+"""Runs calls under tickets that this entry issued, and reports their state.
 
-A run goes on when its caller goes away, so that whoever asks later learns the answer.
-Callers reach it through ``caller.tickets``, other entries through the two handlers.
+A run continues if its caller disconnects, so that a later query returns the answer.
+Callers reach it through ``caller.tickets``, other entries through the ``answer_``
+methods.
 """
 
 import hashlib
@@ -41,16 +42,16 @@
 )
 
 __all__ = [
-    "ASK_PATH",
+    "TICKET_STATE_PATH",
     "Ending",
     "RequestBroken",
-    "RunWhole",
+    "RunRequest",
     "StillRunning",
     "TicketRuns",
     "render",
 ]
 
-ASK_PATH = "/v1/tickets/"
+TICKET_STATE_PATH = "/v1/tickets/"
 FORWARDED_RUNS = 64
 WAITING_POSTS = 64
 CONTENT_BYTES = 16
@@ -60,7 +61,7 @@
 class StillRunning(Failure):
     """Another post of the same ticket is running the call.
 
-    :ivar request_id: the request that runs it.
+    :ivar request_id: the request that runs the call.
     """
 
     request_id: str
@@ -75,22 +76,22 @@
 class Ending:
     """How a request ended.
 
-    :ivar reported: the outcome that its caller receives.
-    :ivar known: the outcome for whoever asks later; it differs where a whole answer
-        came after the deadline.
+    :ivar reported: the outcome that the caller receives.
+    :ivar recorded: the outcome returned to later queries; it differs if a complete
+        answer came after the deadline.
     """
 
     reported: Outcome
-    known: Outcome
+    recorded: Outcome
 
 
-# Takes a request's id, what is asked, the document, the arrival and the last moment to
-# send on the clock, and where to ask.
-RunWhole = Callable[[str, CallerRequest, DocumentInForce, float, float, str], Ending]
+# Takes the request's id, the parsed request, the document in force, the arrival and the
+# latest time to send in the clock's seconds, and the path that returns the state.
+RunRequest = Callable[[str, CallerRequest, DocumentInForce, float, float, str], Ending]
 
 
 def render(outcome: Outcome, request_id: str) -> CallState:
-    """Return an outcome as the HTTP reply that every asker gets."""
+    """Return an outcome as the HTTP reply that every query receives."""
     head: list = []
     content = outcome_reply(lambda *given: head.extend(given), outcome, request_id)
     name = type(outcome).__name__.lower()
@@ -102,7 +103,7 @@
 class TicketRuns:
     """The issuer's side of tickets.
 
-    :ivar pool: runs what other entries forward.
+    :ivar pool: runs calls that other entries forward.
     """
 
     book: TicketBook
@@ -125,68 +126,68 @@
         ticket: Ticket,
         text: str,
         request_id: str,
-        asked: CallerRequest,
+        parsed: CallerRequest,
         in_force: DocumentInForce,
         arrived: float,
-        run: RunWhole,
+        run: RunRequest,
     ) -> CallState:
         """Run a call under a ticket, or wait for the post that runs it.
 
-        :param run: admits a request and runs it whole.
+        :param run: admits a request and runs it to its end.
         """
-        content = _content(asked)
-        claimed = self.book.claim(ticket, asked.account.name, request_id, content)
+        content = _content_digest(parsed)
+        claimed = self.book.claim(ticket, parsed.account.name, request_id, content)
         if isinstance(claimed, Grant):
-            return self._run(claimed, text, request_id, asked, in_force, arrived, run)
+            return self._run(claimed, text, request_id, parsed, in_force, arrived, run)
         if isinstance(claimed, InProgress):
-            left = arrived + asked.deadline_ms / 1000 - self.clock.now()
+            left = arrived + parsed.deadline_ms / 1000 - self.clock.now()
             claimed = self._wait(ticket, left) or claimed
         if isinstance(claimed, InProgress):
             still = StillRunning(claimed.request_id)
-            return render(Unknown(still, ASK_PATH + text), request_id)
+            return render(Unknown(still, TICKET_STATE_PATH + text), request_id)
         return self._state(claimed, text, request_id)
 
     def ask(
         self, ticket: Ticket, text: str, account: str, request_id: str
     ) -> CallState:
-        """Say what became of a ticket; an unused one can't be used afterwards."""
+        """Return a ticket's state; an unused ticket becomes unusable."""
         state = self.book.burn(ticket, account, request_id, TicketNotUsed())
         return self._state(state, text, request_id)
 
     def remember(self, account: str, request_id: str, ending: Ending) -> None:
-        """Remember a request without a ticket whose caller is told "unknown"."""
+        """Store the end of a request without a ticket if "unknown" is reported."""
         if isinstance(ending.reported, Unknown):
-            ended = Ended(request_id, _encoded(ending.known))
+            ended = Ended(request_id, _encoded(ending.recorded))
             self.memory.remember(account, ended)
 
     def ask_request(self, account: str, request_id: str) -> CallState:
-        """Say what became of a request without a ticket."""
+        """Return the state of a request without a ticket."""
         found = self.memory.find(request_id, account)
         if isinstance(found, Failure):
             return render(Unknown(found, f"/v1/requests/{request_id}"), request_id)
         return render(found.outcome, request_id)
 
     def answer_post(
-        self, envelope: Envelope, message: TicketPost, run: RunWhole
+        self, envelope: Envelope, message: TicketPost, run: RunRequest
     ) -> CallState | Rejected:
-        """Begin what another entry forwards, and say at once how it stands."""
+        """Start a call that another entry forwards; return its state at once."""
         arrived = self.clock.now()
         ticket = read_ticket(message.ticket)
         if isinstance(ticket, Failure) or not self.book.is_issuer(ticket):
             return Rejected(IssuerGone("").code)
         in_force = self.configuration.current
-        asked = _asked(message, in_force)
-        if isinstance(asked, Failure):
-            reason = asked
+        parsed = _parse_post(message, in_force)
+        if isinstance(parsed, Failure):
+            reason = parsed
             state = self.book.burn(ticket, message.account, message.request_id, reason)
             return self._state(state, message.ticket, message.request_id)
-        content = _content(asked)
+        content = _content_digest(parsed)
         claimed = self.book.claim(ticket, message.account, message.request_id, content)
         if not isinstance(claimed, Grant):
             return self._state(claimed, message.ticket, message.request_id)
-        arguments = (claimed, message.ticket, message.request_id, asked, in_force)
+        arguments = (claimed, message.ticket, message.request_id, parsed, in_force)
         if not self.forwarded.acquire(blocking=False):
-            full = self.refusals.full(FORWARDED_RUNS, asked.pipeline)
+            full = self.refusals.full(FORWARDED_RUNS, parsed.pipeline)
             ended = self._finish(claimed, message.ticket, message.request_id, full)
             return render(ended.outcome, ended.request_id)
         self.pool.submit(self._run_forwarded, *arguments, arrived, run)
@@ -195,14 +196,14 @@
     def answer_ask(
         self, envelope: Envelope, message: TicketAsk
     ) -> CallState | Rejected:
-        """Say to another entry what became of a ticket."""
+        """Return a ticket's state to another entry."""
         ticket = read_ticket(message.ticket)
         if isinstance(ticket, Failure) or not self.book.is_issuer(ticket):
             return Rejected(IssuerGone("").code)
         return self.ask(ticket, message.ticket, message.account, message.request_id)
 
     def answer_request_ask(self, envelope: Envelope, message: RequestAsk) -> CallState:
-        """Say to another entry what became of a request."""
+        """Return a request's state to another entry."""
         return self.ask_request(message.account, message.request_id)
 
     def _run_forwarded(self, *arguments: object) -> None:
@@ -216,25 +217,25 @@
         grant: Grant,
         text: str,
         request_id: str,
-        asked: CallerRequest,
+        parsed: CallerRequest,
         in_force: DocumentInForce,
         arrived: float,
-        run: RunWhole,
+        run: RunRequest,
     ) -> CallState:
-        ask = ASK_PATH + text
+        ask = TICKET_STATE_PATH + text
         try:
-            ending = run(request_id, asked, in_force, arrived, grant.run_by, ask)
+            ending = run(request_id, parsed, in_force, arrived, grant.run_by, ask)
         except Exception as error:
             emit(Event.REQUEST_BROKEN, request=request_id, error=repr(error))
             broken = Unknown(RequestBroken(), ask)
             ending = Ending(broken, broken)
-        self._finish(grant, text, request_id, _encoded(ending.known))
+        self._finish(grant, text, request_id, _encoded(ending.recorded))
         return render(ending.reported, request_id)
 
     def _finish(
         self, grant: Grant, text: str, request_id: str, outcome: Outcome
     ) -> Ended:
-        return self.book.finish(grant, request_id, outcome, ASK_PATH + text)
+        return self.book.finish(grant, request_id, outcome, TICKET_STATE_PATH + text)
 
     def _wait(self, ticket: Ticket, seconds: float) -> InProgress | Ended | None:
         if not self.waiting.acquire(blocking=False):
@@ -252,25 +253,25 @@
         if isinstance(state, Ended):
             return render(state.outcome, state.request_id)
         if isinstance(state, TicketForgotten):
-            return render(Unknown(state, ASK_PATH + text), request_id)
+            return render(Unknown(state, TICKET_STATE_PATH + text), request_id)
         return render(Refused(state), request_id)
 
 
-def _content(asked: CallerRequest) -> bytes:
-    """Return a digest of what is asked for."""
-    body = msgspec.json.encode(asked.body)
-    named = asked.pipeline.name.encode() + b"\n" + body
+def _content_digest(parsed: CallerRequest) -> bytes:
+    """Return a digest of the pipeline's name and the body."""
+    body = msgspec.json.encode(parsed.body)
+    named = parsed.pipeline.name.encode() + b"\n" + body
     return hashlib.blake2b(named, digest_size=CONTENT_BYTES).digest()
 
 
 def _encoded(outcome: Outcome) -> Outcome:
-    """Return an outcome whose answer is JSON text, so that its size is known."""
+    """Return an outcome whose answer is JSON text, so that its size is recorded."""
     if not isinstance(outcome, Answered):
         return outcome
     return Answered(msgspec.Raw(msgspec.json.encode(outcome.body)))
 
 
-def _asked(
+def _parse_post(
     message: TicketPost, in_force: DocumentInForce | None
 ) -> CallerRequest | Failure:
     if in_force is None:
--- a/boragestream/caller/tickets.py
+++ b/boragestream/caller/tickets.py
@@ -1,8 +1,8 @@
-"""Tickets towards callers: issuing them, posting under them, asking about them.
+"""The ticket endpoints for callers: issue a ticket, post under it, query its state.
 
-A post under a ticket is never run by any entry but the ticket's issuer; others forward
-it. Whatever is wrong with such a post, it is refused only after the issuer has ended
-the ticket, because an earlier post of it may have run.
+Only the entry that issued a ticket runs a post under it; other entries forward the
+post. An invalid post is refused only after the issuer has ended the ticket, because an
+earlier post under it may have run.
 """
 
 import secrets
@@ -25,8 +25,8 @@
 from boragestream.caller.refusals import Refusals
 from boragestream.caller.replies import StartResponse, json_reply
 from boragestream.caller.ticket_runs import (
-    ASK_PATH,
-    RunWhole,
+    TICKET_STATE_PATH,
+    RunRequest,
     StillRunning,
     TicketRuns,
     render,
@@ -66,10 +66,10 @@
 
 
 class StateReport(msgspec.Struct):
-    """The answer to a question about a ticket or a request.
+    """The answer to a query for the state of a ticket or a request.
 
     :ivar state: an outcome's name, or ``in-progress``.
-    :ivar reply: the reply of the request, where it has ended.
+    :ivar reply: the reply to the request, if it has ended.
     """
 
     state: str
@@ -79,13 +79,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TicketCalls:
-    """What callers can do with tickets.
+    """The ticket endpoints.
 
     :ivar name: this entry's name.
-    :ivar is_leaving: tells whether this entry is stopping.
-    :ivar keep: told for how many seconds a ticket may be used, so that a planned stop
-        waits for it; nobody else could run a call under it.
-    :ivar forwarding: bounds the posts that wait for another entry.
+    :ivar is_leaving: returns whether this entry is stopping.
+    :ivar keep: called with the seconds for which a new ticket is valid, so that a
+        planned stop waits for it; no other entry could run a call under it.
+    :ivar forwarding: limits the posts that wait for another entry.
     """
 
     name: str
@@ -101,7 +101,7 @@
     )
 
     def ask_path(self, request_id: str) -> str:
-        """Return where to ask for a request of this entry without a ticket."""
+        """Return the path to query the state of a request without a ticket."""
         return f"{REQUESTS_PATH}{request_id}?entry={self.name}"
 
     def answer(
@@ -111,10 +111,10 @@
         request_id: str,
         in_force: DocumentInForce | None,
     ) -> Reply:
-        """Answer what is neither a pipeline nor a page of the entry."""
+        """Answer a request for a new ticket or for the state of a ticket or request."""
         path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
-        wanted = "POST" if path == TICKETS_PATH else "GET"
-        if method != wanted:
+        expected_method = "POST" if path == TICKETS_PATH else "GET"
+        if method != expected_method:
             return self.refusals.reply(start_response, request_id, MethodNotAllowed())
         if in_force is None:
             return self.refusals.reply(start_response, request_id, NoConfiguration())
@@ -125,12 +125,14 @@
             return self._issue(start_response, request_id, account, in_force)
         if path.startswith(REQUESTS_PATH):
             state = self._ask_request(environ, account)
-            return _report(start_response, state)
-        text = path.removeprefix(ASK_PATH)
-        ticket = _own_ticket(text, account)
+            return _state_reply(start_response, state)
+        text = path.removeprefix(TICKET_STATE_PATH)
+        ticket = _account_ticket(text, account)
         if isinstance(ticket, Failure):
             return self.refusals.reply(start_response, request_id, ticket)
-        return _report(start_response, self._ask(ticket, text, account, request_id))
+        return _state_reply(
+            start_response, self._ask(ticket, text, account, request_id)
+        )
 
     def post(
         self,
@@ -139,32 +141,32 @@
         request_id: str,
         pipeline: str,
         in_force: DocumentInForce,
-        run: RunWhole,
+        run: RunRequest,
     ) -> Reply:
         """Answer a post to a pipeline that carries a ticket.
 
-        :param run: admits a request and runs it whole.
+        :param run: admits a request and runs it to its end.
         """
         arrived = environ.get(ARRIVED, self.clock.now())
         account = find_account(environ, in_force)
         if isinstance(account, Failure):
             return self.refusals.reply(start_response, request_id, account)
         text = environ["HTTP_IDEMPOTENCY_KEY"]
-        ticket = _own_ticket(text, account)
+        ticket = _account_ticket(text, account)
         if isinstance(ticket, TicketMalformed):
             ticket = MalformedHeader("Idempotency-Key")
         if isinstance(ticket, Failure):
             return self.refusals.reply(start_response, request_id, ticket)
-        asked = read_request(environ, pipeline, in_force, self.max_body_bytes)
-        if isinstance(asked, Failure):
-            refused = Refused(asked)
+        parsed = read_request(environ, pipeline, in_force, self.max_body_bytes)
+        if isinstance(parsed, Failure):
+            refused = Refused(parsed)
             state = self._refuse_unused(ticket, text, account, request_id, refused)
         elif self.runs.book.is_issuer(ticket):
             state = self.runs.post(
-                ticket, text, request_id, asked, in_force, arrived, run
+                ticket, text, request_id, parsed, in_force, arrived, run
             )
         else:
-            state = self._forward(ticket, text, request_id, asked, arrived)
+            state = self._forward(ticket, text, request_id, parsed, arrived)
         start_response(state.status, list(state.headers))
         return [state.content]
 
@@ -190,28 +192,37 @@
         ticket: Ticket,
         text: str,
         request_id: str,
-        asked: CallerRequest,
+        parsed: CallerRequest,
         arrived: float,
     ) -> CallState:
-        body = msgspec.json.encode(asked.body)
+        body = msgspec.json.encode(parsed.body)
         if len(body) > MAX_FORWARDED_BYTES:
             refused = Refused(BodyTooLong(MAX_FORWARDED_BYTES))
-            return self._refuse_unused(ticket, text, asked.account, request_id, refused)
+            return self._refuse_unused(
+                ticket, text, parsed.account, request_id, refused
+            )
         if not self.forwarding.acquire(blocking=False):
-            refused = self.refusals.full(FORWARDED_POSTS, asked.pipeline)
-            return self._refuse_unused(ticket, text, asked.account, request_id, refused)
+            refused = self.refusals.full(FORWARDED_POSTS, parsed.pipeline)
+            return self._refuse_unused(
+                ticket, text, parsed.account, request_id, refused
+            )
         try:
-            deadline = arrived + asked.deadline_ms / 1000
+            deadline = arrived + parsed.deadline_ms / 1000
             left_ms = int((deadline - self.clock.now()) * 1000)
             message = TicketPost(
-                text, asked.account.name, request_id, asked.pipeline.name, body, left_ms
+                text,
+                parsed.account.name,
+                request_id,
+                parsed.pipeline.name,
+                body,
+                left_ms,
             )
-            state = self._reach(ticket, message, deadline)
+            state = self._post_to_issuer(ticket, message, deadline)
         finally:
             self.forwarding.release()
-        return _ended(state, text, request_id)
+        return _post_reply(state, text, request_id)
 
-    def _reach(
+    def _post_to_issuer(
         self, ticket: Ticket, message: TicketPost, deadline: float
     ) -> CallState | Failure:
         if ticket.issuer == self.name:
@@ -228,7 +239,7 @@
             question = TicketAsk(text, account.name, request_id)
             state = self.forwarder.ask(ticket.issuer, question)
         if isinstance(state, Failure):
-            return render(Unknown(state, ASK_PATH + text), request_id)
+            return render(Unknown(state, TICKET_STATE_PATH + text), request_id)
         return state
 
     def _ask_request(self, environ: Environ, account: ClientAccount) -> CallState:
@@ -252,10 +263,10 @@
         request_id: str,
         refused: Refused,
     ) -> CallState:
-        """Refuse a post where its ticket is unused, or say what became of it."""
+        """Refuse a post if its ticket is unused, else return the ticket's state."""
         state = self._ask(ticket, text, account, request_id)
         if state.outcome != "refused":
-            return _ended(state, text, request_id)
+            return _post_reply(state, text, request_id)
         return render(refused, request_id)
 
 
@@ -269,7 +280,7 @@
     is_leaving: Callable[[], bool],
     keep: Callable[[float], None],
 ) -> TicketCalls:
-    """Return what callers can do with the tickets of one incarnation."""
+    """Return the ticket endpoints for one incarnation of the entry."""
     name = settings.entry.name
     key = secrets.token_bytes(KEY_BYTES)
     book = TicketBook(name, incarnation, key, clock)
@@ -278,24 +289,24 @@
     return TicketCalls(name, runs, refusals, forwarder, clock, limit, is_leaving, keep)
 
 
-def _own_ticket(text: str, account: ClientAccount) -> Ticket | Failure:
+def _account_ticket(text: str, account: ClientAccount) -> Ticket | Failure:
     ticket = read_ticket(text)
     if isinstance(ticket, Failure):
         return ticket
     return ticket if ticket.account == account.name else TicketForeign()
 
 
-def _ended(state: CallState | Failure, text: str, request_id: str) -> CallState:
-    """Return the reply to a post; one still in progress is "unknown" to it."""
+def _post_reply(state: CallState | Failure, text: str, request_id: str) -> CallState:
+    """Return the reply to a post; report a call in progress as "unknown"."""
     if isinstance(state, Failure):
-        return render(Unknown(state, ASK_PATH + text), request_id)
+        return render(Unknown(state, TICKET_STATE_PATH + text), request_id)
     if not state.outcome:
         still = StillRunning(state.request_id)
-        return render(Unknown(still, ASK_PATH + text), request_id)
+        return render(Unknown(still, TICKET_STATE_PATH + text), request_id)
     return state
 
 
-def _report(start_response: StartResponse, state: CallState) -> Reply:
+def _state_reply(start_response: StartResponse, state: CallState) -> Reply:
     reply = msgspec.Raw(state.content) if state.content else None
     report = StateReport(state.outcome or "in-progress", state.request_id, reply)
     return json_reply(start_response, report)
