--- a/tests/features/steps/caller_channel.py
+++ b/tests/features/steps/caller_channel.py
@@ -1,4 +1,4 @@
-"""Steps that read replies of a caller's server over a socket."""
+"""Steps that read replies of the server for callers over a socket."""
 
 import hashlib
 import http.client
--- a/tests/features/steps/caller_connections.py
+++ b/tests/features/steps/caller_connections.py
@@ -1,4 +1,4 @@
-"""Steps that run the server for callers with an application of their own."""
+"""Steps that run the server for callers with a test application."""
 
 import socket
 import threading
--- a/tests/features/steps/caller_protocol.py
+++ b/tests/features/steps/caller_protocol.py
@@ -20,7 +20,7 @@
 
 
 def sized(body, headers=(), key=KEY, **options):
-    """Return a request that carries a key and its body's true length."""
+    """Return a request with a key and the correct length of its body."""
     return caller.sized(body, headers, key=key, **options)
 
 
@@ -104,7 +104,7 @@
 
 
 def is_closed(sock):
-    """Send one more byte and tell whether the other side has closed."""
+    """Send one more byte; return whether the other side has closed."""
     try:
         sock.sendall(b"a")
         return sock.recv(1) == b""
--- a/tests/features/steps/caller_refusals.py
+++ b/tests/features/steps/caller_refusals.py
@@ -1,4 +1,4 @@
-"""Steps that refuse callers before admission."""
+"""Steps in which callers are refused before admission."""
 
 import json
 import random
@@ -21,7 +21,7 @@
 
 
 def refusals():
-    """Return what refuses at an idle entry."""
+    """Return the ``Refusals`` of an idle entry."""
     return Refusals(Admission(8, SetClock(), random.Random(1)))
 
 
@@ -44,6 +44,6 @@
 @then("each is told when to come back, and their times are spread")
 def step(context):
     assert all(seconds > 0 for seconds in context.seconds), context.seconds
-    # Whole milliseconds may meet by chance.
+    # Two times in whole milliseconds can be equal by chance.
     assert len(set(context.seconds)) > len(context.seconds) / 2, context.seconds
     assert max(context.seconds) > 1.2 * min(context.seconds), context.seconds
--- a/tests/features/steps/caller_status.py
+++ b/tests/features/steps/caller_status.py
@@ -15,7 +15,7 @@
     client = Client(example_key(account), (address,))
     reply = client.call(pipeline, "x", address=address)
     assert reply.outcome == "answered", reply
-    # The answer leaves before it is counted.
+    # The answer is sent before it is counted.
     wait_until(lambda: context.fleet.status(name)["accounts"])
 
 
@@ -54,8 +54,8 @@
     assert states == dict.fromkeys(context.fleet.servers, "live"), states
 
 
-def believed(context, name, other):
-    """Return what an entry believes of another entry or of a server."""
+def observed_state(context, name, other):
+    """Return the state of another entry or a server as an entry sees it."""
     page = context.fleet.status(name)
     states = {r["name"]: r["state"] for r in [*page["servers"], *page["entries"]]}
     return states[other]
@@ -69,7 +69,7 @@
 
 @then('the status page of "{name}" says "{state}" of "{other}"')
 def step(context, name, state, other):
-    wait_until(lambda: believed(context, name, other) == state)
+    wait_until(lambda: observed_state(context, name, other) == state)
 
 
 @then('the status page of "{name}" says "{state}" of "{other}" while it is called')
@@ -78,12 +78,12 @@
     client = Client(example_key("patan-counter"), (address,))
     inputs = itertools.count()
 
-    def is_believed():
-        # The same input again and again would go to the same server.
+    def has_state():
+        # A repeated input would always be routed to the same server.
         client.call("caption", f"portrait {next(inputs)}", address=address)
-        return believed(context, name, other) == state
+        return observed_state(context, name, other) == state
 
-    wait_until(is_believed)
+    wait_until(has_state)
 
 
 @when('the instance list says that "{server}" is leaving')
--- a/tests/features/steps/caller_tickets.py
+++ b/tests/features/steps/caller_tickets.py
@@ -1,4 +1,4 @@
-"""Steps that post under tickets while something fails."""
+"""Steps that post under tickets while servers or entries fail."""
 
 import http.client
 import json
@@ -20,11 +20,11 @@
 
 ACCOUNT = "patan-counter"
 PIPELINE = "order-status"
-LEDGER = "member-ledger-1"
-LOOK_UP = "counter-app-1"
+LEDGER_SERVER = "member-ledger-1"
+LOOKUP_SERVER = "counter-app-1"
 DEADLINE_MS = 2000
-SHORT_MS = 600
-# The fleet's answers are kept 5 s; 2 s more until all have heard of the stop.
+SHORT_DEADLINE_MS = 600
+# The fleet keeps answers for 5 s; 2 s more until all entries know of the stop.
 LINGER_SECONDS = 7.5
 FAULTS = {
     "slow": {"seconds": 0.5},
@@ -32,7 +32,7 @@
     "silent": {"seconds": 1.0},
     "refuse-always": {"fault": "refuse", "times": 999},
 }
-CUT_SHORT = ("late", "silent", "refuse-always")
+SHORT_DEADLINE_FAULTS = ("late", "silent", "refuse-always")
 
 
 @given("tickets that live {life:g} s and one server for each stage of {pipeline}")
@@ -45,10 +45,10 @@
                 fleet.servers.pop(name).kill()
         fleet.is_narrow = True
         fleet.publish_instances()
-    wanted = {**fleet.document.get("policies", {}), "ticket_seconds": life}
-    if fleet.document["policies"] != wanted:
+    policies = {**fleet.document.get("policies", {}), "ticket_seconds": life}
+    if fleet.document["policies"] != policies:
         version = fleet.document["version"] + 1
-        fleet.document = {**fleet.document, "policies": wanted, "version": version}
+        fleet.document = {**fleet.document, "policies": policies, "version": version}
         fleet.publish(fleet.document)
     for name in fleet.entries:
         wait_until(lambda n=name: is_ready(fleet, n), what=f"{name} up to date")
@@ -59,7 +59,7 @@
 
 
 def is_ready(fleet, name):
-    """Tell whether an entry has the newest document and list."""
+    """Return whether an entry has the newest document and instance list."""
     status = fleet.status(name)
     newest = status["version"] == fleet.document["version"]
     return newest and {s["name"] for s in status["servers"]} == set(fleet.servers)
@@ -67,7 +67,7 @@
 
 def charges(context):
     """Return how often the ledger ran, by request id."""
-    return fetch(context.fleet.servers[LEDGER].port, "/standin/runs")["requests"]
+    return fetch(context.fleet.servers[LEDGER_SERVER].port, "/standin/runs")["requests"]
 
 
 def address(context, name):
@@ -76,12 +76,12 @@
 
 
 def client(account=ACCOUNT):
-    """Return a client that knows no entries."""
+    """Return a client without entry addresses."""
     return Client(example_key(account), ())
 
 
 def post(context, name, account=ACCOUNT, pipeline=PIPELINE, deadline_ms=None):
-    """Post under the ticket and keep the reply."""
+    """Post under the ticket and record the reply."""
     reply = client(account).call(
         pipeline,
         "one order",
@@ -96,13 +96,13 @@
 
 
 def ask(context, name, account=ACCOUNT):
-    """Ask for the ticket."""
+    """Query the ticket's state."""
     path = ticket_path(context.ticket)
     return ask_state(client(account), path, address(context, name))
 
 
-def settled(context, name):
-    """Ask for the ticket until its call is not in progress."""
+def wait_for_end(context, name):
+    """Query the ticket's state until its call has ended."""
 
     def has_ended():
         reply = ask(context, name)
@@ -120,8 +120,8 @@
 
 @given('"{name}" reaches "{issuer}"')
 def step(context, name, issuer):
-    # The issuer may just have been replaced; the other entries connect to it anew.
-    # It is asked for a ticket of its own, since a ticket that was asked for is void.
+    # The issuer may just have been replaced, so the other entries must reconnect. A
+    # separate ticket is used, since querying an unused ticket makes it unusable.
     if name == "nowhere":
         return
     path = ticket_path(fetch_ticket(client(), address(context, issuer)))
@@ -133,23 +133,23 @@
 
 @given('the ledger\'s next call meets "{fault}"')
 def step(context, fault):
-    server = context.fleet.servers[LEDGER]
-    if fault in CUT_SHORT:
-        context.deadline_ms = SHORT_MS
+    server = context.fleet.servers[LEDGER_SERVER]
+    if fault in SHORT_DEADLINE_FAULTS:
+        context.deadline_ms = SHORT_DEADLINE_MS
     if fault == "down":
         context.before = {}
         server.kill()
         context.add_cleanup(revive, server)
         return
-    context.fleet.inject(LEDGER, {"fault": fault, **FAULTS.get(fault, {})})
+    context.fleet.inject(LEDGER_SERVER, {"fault": fault, **FAULTS.get(fault, {})})
     if fault == "refuse-always":
-        # What is left of the faults ends with the process.
+        # Killing the process discards the remaining faults.
         context.add_cleanup(revive, server)
         context.add_cleanup(server.kill)
 
 
 def revive(server):
-    """Start a server again where it is down."""
+    """Restart a server if it is down."""
     if server.popen.poll() is not None:
         server.start()
     wait_until(lambda: fetch(server.port, "/load"), what="the server")
@@ -157,7 +157,7 @@
 
 @given("the look-up's next call takes {seconds:g} s")
 def step(context, seconds):
-    context.fleet.inject(LOOK_UP, {"fault": "slow", "seconds": seconds})
+    context.fleet.inject(LOOKUP_SERVER, {"fault": "slow", "seconds": seconds})
 
 
 @when('it is posted to "{name}"')
@@ -172,21 +172,21 @@
         context.reply = post(context, name)
         return context.reply.outcome != "unknown"
 
-    # What an entry reads first after a pause counts as come before it, so that the
-    # first post may find its time over while the delayed one still runs.
+    # Data that an entry reads first after a pause counts as received before the pause,
+    # so the first post may exceed its deadline while the delayed one still runs.
     wait_until(is_known, what="a known outcome")
 
 
 @then('the failure is one of "{codes}"')
 def step(context, codes):
-    # Another entry may not yet have connected to the new process again.
+    # Another entry may not yet have reconnected to the new process.
     code = context.reply.problem["type"].rpartition(":")[2]
     assert code in codes.split(", "), context.reply
 
 
 @then('asked of "{name}" its state is "{state}"')
 def step(context, name, state):
-    reply = settled(context, name)
+    reply = wait_for_end(context, name)
     assert reply.outcome == state, reply
 
 
@@ -203,8 +203,8 @@
 
 
 def count_runs(context):
-    """Return how often the charge ran; no id twice, and none that was refused."""
-    revive(context.fleet.servers[LEDGER])
+    """Return how often the charge ran; check that no id ran twice or when refused."""
+    revive(context.fleet.servers[LEDGER_SERVER])
     now = charges(context)
     assert max(now.values(), default=1) == 1, now
     check_refusals(context)
@@ -212,7 +212,7 @@
 
 
 def check_refusals(context):
-    """Check that no id that was refused was run anywhere."""
+    """Check that no server ran a refused request."""
     refused = {r.request_id for r in context.posted if r.outcome == "refused"}
     for name, runs in context.fleet.runs().items():
         assert not refused & set(runs["requests"]), name
@@ -232,8 +232,8 @@
     assert len(seen) == 1 and {s[0] for s in seen} == {outcome}, seen
 
 
-def meanwhile(context, name, server, act):
-    """Post in another thread and act once a server runs the request."""
+def post_and_act(context, name, server, act):
+    """Post in another thread and call ``act`` once a server runs the request."""
     with ThreadPoolExecutor(1) as pool:
         posting = pool.submit(post, context, name)
         wait_until(lambda: context.fleet.in_progress(server))
@@ -247,12 +247,12 @@
 
     def freeze():
         process.freeze()
-        # The pause, not the test, decides: the ticket's life and then some.
+        # The pause alone makes the ticket expire: it exceeds the ticket's lifetime.
         time.sleep(context.life + 0.3)
         process.wake()
 
     context.deadline_ms = DEADLINE_MS * 10
-    context.reply = meanwhile(context, name, LOOK_UP, freeze)
+    context.reply = post_and_act(context, name, LOOKUP_SERVER, freeze)
 
 
 @given('no other entry reaches "{name}"')
@@ -285,7 +285,7 @@
 
 @when('"{name}" is replaced')
 def replace(context, name):
-    """Start an entry anew at its address."""
+    """Restart an entry at its address."""
     process = context.fleet.entries[name]
     process.start()
     wait_until(lambda: is_ready(context.fleet, name), what=f"{name} up to date")
@@ -294,7 +294,7 @@
 @when('it is posted to "{name}" and "{killed}" is killed meanwhile')
 def step(context, name, killed):
     process = context.fleet.entries[killed]
-    context.reply = meanwhile(context, name, LEDGER, process.kill)
+    context.reply = post_and_act(context, name, LEDGER_SERVER, process.kill)
 
 
 @when('it is posted to "{name}" by a caller that goes away meanwhile')
@@ -306,7 +306,7 @@
     }
     body = json.dumps({"input": "one order"})
     connection.request("POST", f"/v1/pipelines/{PIPELINE}", body, headers)
-    wait_until(lambda: context.fleet.in_progress(LEDGER))
+    wait_until(lambda: context.fleet.in_progress(LEDGER_SERVER))
     connection.close()
 
 
@@ -352,7 +352,7 @@
     process = next(p for p in fleet.entries.values() if p.address == first)
     with ThreadPoolExecutor(1) as pool:
         calling = pool.submit(call_once, caller, PIPELINE, "one order", 4000)
-        wait_until(lambda: fleet.in_progress(LEDGER))
+        wait_until(lambda: fleet.in_progress(LEDGER_SERVER))
         process.kill()
         context.reply = calling.result()
     replace(context, process.name)
@@ -368,11 +368,11 @@
 def step(context, name):
     process = context.fleet.entries[name]
     context.add_cleanup(restart, context, process)
-    # A stop without tickets would have ended by then: see GracefulStop.
+    # Without tickets the stop would have ended by then; see GracefulStop.
     time.sleep(LINGER_SECONDS)
 
 
 def restart(context, process):
-    """End an entry and start it anew."""
+    """Kill an entry and restart it."""
     process.kill()
     replace(context, process.name)
