--- a/boragestream/policy/cold_servers.py
+++ b/boragestream/policy/cold_servers.py
@@ -1,8 +1,8 @@
 """Limits the requests to cold servers, that is, to servers that have just started.
 
 A cold server crashes when it gets more requests in a second than it tolerates, from all
-entries together. No entry can count them all, so that each entry must keep the bound by
-its own behaviour alone.
+entries (instances that take requests of callers) together. No entry can count them all,
+so each entry must keep the bound by its own behaviour alone.
 
 Load patterns: a data centre comes back into service during a burst; a rolling release;
 all servers of a service restart at once while entries start and stop and have different
@@ -10,22 +10,23 @@
 
 A cold server gets no request while the service has a warm one. If none is warm, each
 cold server may be used by a few entries, its senders, which all entries select in the
-same way from the live entries that they know. Without senders, 74 entries that send one
-request each in the same second would exceed a bound of 38. The bound is
-``max_per_second`` arrivals in any second. A sender has a token bucket with a capacity
+same way from the live entries that they know. The bound is ``max_per_second`` arrivals
+in any second. Without senders, 74 entries that each send one request to the same server
+in one second would exceed a bound of 38. A sender has a token bucket with a capacity
 of one request, refilled at ``rate``, and thus sends at most ``1 + rate`` requests in a
 second. With ``SENDERS`` senders in each of ``PARTITIONS`` groups of entries,
-``PARTITIONS * SENDERS * (1 + rate) <= max_per_second`` must hold. An entry that has not
-yet agreed with others on the live entries uses no cold server, however many entries
-start at once.
+``PARTITIONS * SENDERS * (1 + rate) <= max_per_second`` must hold. An entry uses no cold
+server unless other entries have the same set of live entries, so that the bound also
+holds while many entries start at once.
 
 A server's published record states for how long it stays cold. The time counts from the
 moment at which this entry learns of it, so that it ends too late rather than too early.
-When a drain is lifted, all servers of the data centre count as cold: they may have
-turned cold immediately before, which is published only seconds later.
+When the drain of a data centre is lifted, all its servers count as cold: they may have
+turned cold just before the lifting, which is published only seconds later.
 
-A server that turns cold while it is in use is known to be cold only after a heartbeat
-and a relay. The choice among the usable servers is left to ``policy.server_choice``.
+A server that turns cold while it is in use is not limited at first: it is treated as
+warm until its heartbeat has been relayed to this entry. The choice among the usable
+servers is left to ``policy.server_choice``.
 """
 
 import threading
@@ -39,14 +40,17 @@
 
 __all__ = ["ColdBound", "ColdServers", "sender_rate", "senders"]
 
-# With more senders the rate of each would be too low. With fewer, requests at other
-# entries find no server for as long as all servers are cold.
+# The maximum number of senders of a cold server. With more, the rate of each would be
+# too low. With fewer, requests at more entries would find no server while all servers
+# are cold.
 SENDERS = 4
 # In a network partition, two groups of entries each select their own senders.
 PARTITIONS = 2
-# The capacity of a sender's token bucket, in requests, independent of its rate.
+# The capacity of a sender's token bucket, in requests. It is the same at any rate: the
+# bound of ``1 + rate`` requests in a second is based on it.
 BURST = 1.0
-# Live entries change, and ranking them for each server is too costly for each request.
+# For how long a ranking of the live entries for a server is reused. They change, and
+# ranking them again for each request is too costly.
 RANK_SECONDS = 0.5
 
 
@@ -78,7 +82,10 @@
 
 
 def senders(server: Server, entries: Iterable[str]) -> list[str]:
-    """Return the entries ranked for a cold server by rendezvous hashing."""
+    """Return all entries ranked for a cold server by rendezvous hashing.
+
+    The first ones are its senders, as many as ``sender_rate`` returns.
+    """
 
     def rank(entry: str) -> int:
         return xxhash.xxh3_64_intdigest(f"cold {server.name}\0{entry}".encode())
@@ -90,7 +97,7 @@
 class _Cold:
     """The state of one cold server.
 
-    :ivar until: when the server is warm, in the clock's seconds.
+    :ivar until: when the server becomes warm, in the clock's seconds.
     :ivar tokens: the number of requests that this entry may send now as a sender.
     :ivar filled_at: when ``tokens`` was last updated.
     :ivar is_sender: whether this entry is a sender.
@@ -129,7 +136,7 @@
         self._agreed = agreed
         self._clock = clock
         self._cold: dict[tuple[str, str, str], _Cold] = {}
-        # When the last cold server is warm; until then each choice checks ``_cold``.
+        # When the last cold server becomes warm; each choice before checks ``_cold``.
         self._all_warm_at = float("-inf")
         self._lock = threading.Lock()
 
@@ -192,7 +199,7 @@
     def _may_send(self, server: Server, now: float) -> bool:
         bound = self._bound(server.service)
         if bound is None:
-            # A configuration without the bound came into force in the meantime.
+            # A configuration without the bound came into force after ``_is_cold``.
             return True
         cold = self._cold[server.identity]
         count, rate = sender_rate(bound)
