--- a/boragestream/policy/quarantine.py
+++ b/boragestream/policy/quarantine.py
@@ -5,18 +5,21 @@
 server; they are sent again and may run beside the same request again. Requests are
 identified by a fingerprint of the content that determines what runs.
 
-The number of consecutive crashes is counted: an attempt that is cut by a crash sets the
-count to one more than was recorded when the attempt was sent. Servers that are lost
-together therefore count once for a request that ran on all of them. An answer from any
-server resets the count. The second consecutive crash quarantines a request. A threshold
-of one would also block the requests that ran beside the cause; a threshold of three
-would cost a small service its last server.
-
-After the first crash, the attempts that were cut are sent again at once. Other copies
-of the request, at any entry, are sent in turns: otherwise several entries that hold one
-copy each would lose a server each. A quarantine ends with a probe, for which each entry
-has turns of its own too, so that the other entries learn the outcome before their turns
-begin. A probe that crashes its server starts a longer quarantine.
+Each entry (an instance that takes requests of callers) counts consecutive crashes per
+fingerprint. When a crash cuts an attempt, the new count is the count at the time of
+sending plus one, so that simultaneous crashes of several servers count once. An answer
+from any server resets the count. The second consecutive crash quarantines a request. A
+threshold of one would also block the requests that ran beside the cause; a threshold of
+three would cost a small service its last server. A request that ran beside the cause
+at two consecutive crashes is still quarantined wrongly.
+
+A turn is a time slot in which an entry may send one copy of a request; the entries have
+their turns one after another. After the first crash, the attempts that were cut are
+sent again at once. Other copies, at any entry, are sent only in turns: otherwise
+several entries with one copy each would lose a server each. A quarantine ends with a
+probe, also sent in turns, none of which two entries share: the other entries thus learn
+the outcome before their turns begin. A probe that crashes its server starts a longer
+quarantine.
 
 ``serving.request_guard`` detects crashes, and ``entry.quarantine`` exchanges the
 records between entries.
@@ -48,9 +51,10 @@
 # entries.
 PROBE_TURN_SECONDS = 3.0
 # Turns of suspected requests are short because callers wait for them. Each outcome that
-# does not reach the next entry within a turn costs one more server.
+# does not reach the entry whose turn is next within one turn costs one more server.
 SUSPECT_TURN_SECONDS = 1.0
-# With more entries than this, some share a turn.
+# The maximum number of turns of a suspected request before an entry's turn comes again.
+# It bounds the wait for a turn. With more entries than this, some share a turn.
 MAX_SUSPECT_TURNS = 8
 # Callers whose requests were cut by a crash have returned or given up by then.
 SUSPECT_RETENTION_SECONDS = 60.0
@@ -89,8 +93,8 @@
     """The crash history of one request.
 
     :ivar quarantines_ended: the number of quarantines that an answer has ended.
-    :ivar sequences_ended: the number of shorter crash sequences that an answer has
-        ended since the last quarantine.
+    :ivar sequences_ended: the number of crash sequences too short for a quarantine
+        that an answer has ended since the last quarantine.
     :ivar crashes: the number of consecutive crashes since the last answer.
     """
 
@@ -143,7 +147,7 @@
 
     :ivar own: this entry's name.
     :ivar entries: returns the names of the entries in service.
-    :ivar changed: called after each change to be sent to other entries at once.
+    :ivar changed: called after each change, which other entries must get at once.
     """
 
     own: str
@@ -210,7 +214,7 @@
         :returns: the new record; None if the crash changes nothing.
         """
         current = self.known(sent_with.fingerprint)
-        # A request that was sent before an answer starts a new count.
+        # If an answer was recorded after the request was sent, the count starts anew.
         same_sequence = sent_with.rank[:2] == current.rank[:2]
         before = sent_with if same_sequence else replace(current, crashes=0)
         record = before.after_crash()
@@ -225,7 +229,7 @@
     def take(self, record: CrashRecord, age_seconds: float) -> bool:
         """Merge a record; return False if it changes nothing.
 
-        :param age_seconds: the time since its last crash was detected.
+        :param age_seconds: the time since the crash or answer that led to the record.
         """
         if age_seconds >= _retention_seconds(record):
             return False
@@ -313,7 +317,7 @@
                 self._drop(fingerprint)
 
     def _evict_one(self) -> None:
-        """Drop the oldest record that is no quarantine, or else the oldest record."""
+        """Drop the oldest record of a request not in quarantine, else the oldest."""
         not_quarantined = (
             key for key, k in self._records.items() if not k.record.quarantined
         )
@@ -327,7 +331,7 @@
 
 
 def _pause_seconds(record: CrashRecord) -> float:
-    """Return how long after its last crash a request is not sent to any server."""
+    """Return the seconds from a request's last crash to the first turn."""
     if not record.quarantined:
         # The first turn belongs to the attempts that were cut.
         return SUSPECT_TURN_SECONDS
