--- a/boragestream/policy/service_queue.py
+++ b/boragestream/policy/service_queue.py
@@ -1,7 +1,11 @@
 """The state of a stage service's queue: orders, calls in progress, room at the servers.
 
-The queue is not thread-safe; its owner must hold a lock. ``policy.piece_queue`` chooses
-the pieces of each batch, ``serving.piece_batches`` sends the calls.
+A stage is a step of a request that runs on the servers of a stage service. An order is
+the work of one stage for one request; its pieces can run in different calls. The owner
+is the entry that keeps the queue of a service. The queue is not thread-safe: calls of
+its methods must be serialized by a lock. All times are in the clock's seconds.
+``policy.piece_queue`` chooses the pieces of each batch, ``serving.piece_batches`` sends
+the calls.
 """
 
 import math
@@ -27,12 +31,14 @@
 __all__ = ["Batch", "CallRoom", "ServiceQueue"]
 
 MEGABYTE = 1_000_000.0
-# A server that did not take a call is full or unreachable. Without a pause it would be
-# called again at once, a thousand times a second if it is the only server left.
+# A server that did not take a call or had no room for a result is full or unreachable.
+# Without a pause it would be called again at once, a thousand times a second if it is
+# the only server left.
 REFUSED_PAUSE_SECONDS = 0.1
 # A booking is dropped if its order has not arrived this long after its latest start.
 BOOKING_GRACE_SECONDS = 0.5
-# A result is released as soon as the next call has read it, mostly within this time.
+# After a NO_ROOM fault, results that are not recorded here are assumed to occupy the
+# server's memory for this time. Most results are read and released sooner.
 NO_ROOM_HOLD_SECONDS = 0.4
 
 
@@ -77,8 +83,8 @@
 class _Booked:
     """A booking: pieces whose order is expected.
 
-    :ivar start_by: the latest start of the order, in the clock's seconds.
-    :ivar until: the clock's seconds at which the booking is dropped.
+    :ivar start_by: the latest start of the order.
+    :ivar until: when the booking is dropped.
     """
 
     count: int
@@ -92,11 +98,13 @@
     """The calls and results of one server.
 
     :ivar calls: the number of calls in progress.
-    :ivar free_at: the clock's seconds at which the calls are expected to end.
-    :ivar paused_until: the clock's seconds before which no call is sent.
+    :ivar free_at: when the call that was sent last is expected to end; 0 after any call
+        has ended.
+    :ivar paused_until: no call is sent before this time.
     :ivar pending_bytes: the expected bytes of the results of calls in progress.
-    :ivar held: stored results by handle: size in bytes, and the clock's seconds until
-        which the server keeps them.
+    :ivar held: stored results by handle: size in bytes, and the time until which the
+        server keeps them. Assumed results, recorded after a NO_ROOM fault, have a label
+        of their piece instead of a handle.
     """
 
     calls: int = 0
@@ -124,7 +132,7 @@
         self._room = room
         self._orders: dict[str, QueuedOrder] = {}
         self._bookings: dict[str, _Booked] = {}
-        # By identity, since a server that has restarted holds none of its results.
+        # By identity, since a server that has restarted has lost its earlier results.
         self._servers: dict[tuple[str, str, str], _ServerState] = {}
         self._callers = ReturningCallers()
 
@@ -168,8 +176,8 @@
     ) -> float | None:
         """Book a later order; return the expected wait in seconds if it is refused.
 
-        :param start_by: the clock's seconds by which the order must start.
-        :param expires: the clock's seconds at which its caller stops waiting.
+        :param start_by: the latest start of the order.
+        :param expires: when its caller stops waiting.
         """
         if booking.order_id in self._bookings or booking.order_id in self._orders:
             return None
@@ -197,10 +205,10 @@
             del self._orders[order_id]
 
     def drop_late(self, now: float) -> list[QueuedOrder]:
-        """Drop and return the orders that are late and have not started since.
+        """Drop and return the late orders of which no piece has been sent.
 
-        A caller that is refused now can retry in time, and does not wait for a late
-        answer, which is worth a fraction.
+        A caller that is refused now can retry in time. Otherwise it would wait for a
+        late answer, which is worth only a fraction of one in time.
         """
         late = [queued for queued in self._orders.values() if is_abandoned(queued, now)]
         for queued in late:
@@ -293,9 +301,10 @@
     def forget(self, listed: Iterable[Server], now: float) -> None:
         """Drop the state of servers that have left or restarted.
 
-        A server that has left may still serve its stored results, so that its state is
-        kept until they expire. A server that has restarted under the same name holds
-        none of them, so that its earlier state is dropped at once.
+        A server that has left may still serve its stored results, so its state is kept
+        until they expire. A server that has restarted under the same name has lost
+        them, so its earlier state is dropped without that delay. State with calls in
+        progress is kept until they end.
         """
         latest = {server.name: server.identity for server in listed}
         for identity, state in list(self._servers.items()):
