--- a/boragestream/serving/forwarder.py
+++ b/boragestream/serving/forwarder.py
@@ -2,7 +2,8 @@
 
 A call that may run at most once is sent on a new connection, and is sent again only
 if the server states that it did not run it. A resumable stream continues at another
-server when its connection breaks; any other stream ends without its end mark.
+server when its connection breaks; any other stream is cut off before the mark of its
+end, which shows the caller that it is incomplete.
 """
 
 from collections.abc import Iterator
@@ -46,13 +47,14 @@
 __all__ = ["Forwarder"]
 
 SERVER_ERROR = 500
-# After more refusals than this the request fails.
+# The request fails after more attempts than this that certainly did not run, such as
+# refusals by servers and failed connections.
 MAX_REFUSALS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Forwarder:
-    """Forwards requests."""
+    """Forwards requests of callers to the servers of their service."""
 
     parts: ForwardParts
 
@@ -78,8 +80,9 @@
         self._inputs: tuple[StageResult, ...] = ()
         self._inputs_ready = False
         self._choice = ForwardedChoice(parts, run)
-        # Attempts that may have run, and attempts that certainly did not.
+        # Attempts that may have run.
         self._possible_runs = 0
+        # Attempts that certainly did not run.
         self._refusals = 0
         self._splitter = EventSplitter(run.request.last_event)
         self._failure: Failure | None = None
@@ -139,7 +142,11 @@
     def _handle_answer(
         self, attempt: ForwardAttempt, answer: OpenForwardedAnswer
     ) -> WholeAnswer | ForwardAttempt | None:
-        """Return what the caller receives; None if there is nothing yet."""
+        """Evaluate a server's answer to an attempt.
+
+        :returns: the whole answer, or the attempt if its stream can be relayed; None if
+            the answer is not to be delivered now.
+        """
         head = answer.head
         if head.claim is not RunClaim.RAN:
             self._handle_refusal(attempt, answer)
@@ -161,7 +168,7 @@
         self._release_inputs()
         if successful or not self._run.route.repeatable:
             return WholeAnswer(head, body)
-        # The server's error answer is delivered if no later attempt succeeds.
+        # ``answer`` returns the server's error answer if no later attempt succeeds.
         self._error = WholeAnswer(head, body)
         return None
 
@@ -261,7 +268,8 @@
 
     def _handle_broken_stream(self, attempt: ForwardAttempt, failure: Failure) -> None:
         attempt.end(CallEnd.CUT)
-        # Closing the connection stops the server before another one resumes the stream.
+        # Closing the connection stops the server's work on this request before another
+        # server resumes the stream.
         attempt.close()
         self._check_for_crash(attempt.server, failure)
         self._splitter.discard_partial()
