--- a/boragestream/serving/piece_batches.py
+++ b/boragestream/serving/piece_batches.py
@@ -1,8 +1,11 @@
 """Sends the queued pieces of stage services in batches, as the owner of their queues.
 
-A batch is sent when a server is free, never on a timer. Pieces whose call failed return
-to the queue as long as the bound on repeats allows it. ``policy.piece_queue`` decides
-which pieces form a batch, ``serving.piece_orders`` which entry owns a queue, and
+A stage service runs steps (stages) of requests. An order is the work of one stage for
+one request and consists of pieces. Batches are sent to free servers whenever an order
+arrives, a call ends or results are released, and at each periodic check. Pieces whose
+call failed return to the queue as long as the bound on repeats allows it.
+``policy.piece_queue`` decides which pieces form a batch, ``serving.piece_orders`` which
+entry (instance that takes requests of callers) owns a queue, and
 ``serving.piece_calls`` makes the calls.
 """
 
@@ -36,8 +39,9 @@
 
 __all__ = ["PieceBatches", "ResultsCallback"]
 
-# A server with a limit is sent a batch if its permit begins within this time. Queues
-# are checked at this interval, so no permit is missed between two checks.
+# A server with a limit may be called only with a permit, which is valid from a certain
+# time. It is sent a batch if that time is at most this far away. Queues are checked at
+# this interval, so no permit is missed between two checks.
 PERMIT_WAIT_SECONDS = 0.25
 # The failures of calls that were abandoned before anything was sent.
 NOT_CALLED = ServerBackedOff | ServerCold | ServerLeft | ServerLimited
@@ -70,7 +74,8 @@
 
         :param start_seconds: the time until its latest start.
         :param left_seconds: the time until its request stops waiting for it.
-        :returns: the expected wait in seconds if it is refused, None if it is accepted.
+        :returns: the expected wait in seconds if it is refused, 0.0 if the limits of
+            the service are unknown; None if it is accepted.
         """
         self._parts.used()
         limits = self._parts.limits(order.service)
@@ -102,7 +107,8 @@
 
         :param start_seconds: the time until its latest start.
         :param left_seconds: the time until its request stops waiting for it.
-        :returns: the expected wait in seconds if it is refused, None if it is accepted.
+        :returns: the expected wait in seconds if it is refused, 0.0 if the limits of
+            the service are unknown; None if it is accepted.
         """
         self._parts.used()
         limits = self._parts.limits(booking.service)
@@ -138,8 +144,8 @@
         with self._lock:
             for handle in handles:
                 service, server = self._result_servers.get(handle, ("", None))
-                # If the server may not be sent messages, its results take up room until
-                # they expire.
+                # A server that is drained, limited or backed off is sent no releases;
+                # its results take up room until they expire.
                 if server is None or not self._calls.takes_messages(server):
                     continue
                 del self._result_servers[handle]
@@ -151,7 +157,13 @@
             self._send_batches(service)
 
     def look_again(self) -> None:
-        """Drop expired, late and unserved orders; send batches to free servers."""
+        """Check all queues, results and calls; call this periodically.
+
+        Drops orders and bookings that have expired, and forgets results that are no
+        longer stored. Fails orders that are late, that must start before a server may
+        be called again, or that have no live server. Sends batches to free servers and
+        checks for overdue calls.
+        """
         now = self._parts.clock.now()
         late: list[QueuedOrder] = []
         unserved: list[QueuedOrder] = []
@@ -301,7 +313,7 @@
     ) -> None:
         """Record a batch's results, requeue failed pieces and report the others.
 
-        Results of orders that were dropped since are released.
+        Results of orders that were dropped during the call are released.
         """
         results = result if isinstance(result, list) else None
         ran = True
