--- a/boragestream/policy/service_queue.py
+++ b/boragestream/policy/service_queue.py
@@ -2,8 +2,9 @@
 
 A stage is a step of a request that runs on the servers of a stage service. An order is
 the work of one stage for one request; its pieces can run in different calls. The owner
-is the entry that keeps the queue of a service. The queue is not thread-safe: calls of
-its methods must be serialized by a lock. All times are in the clock's seconds.
+is the entry (instance that takes requests of callers) that keeps the queue of a
+service. The queue is not thread-safe: calls of its methods must be serialized by a
+lock. Points in time are in the clock's seconds.
 ``policy.piece_queue`` chooses the pieces of each batch, ``serving.piece_batches`` sends
 the calls.
 """
