--- a/boragestream/serving/piece_batches.py
+++ b/boragestream/serving/piece_batches.py
@@ -1,9 +1,9 @@
 """Sends the queued pieces of stage services in batches, as the owner of their queues.
 
 A stage service runs steps (stages) of requests. An order is the work of one stage for
-one request and consists of pieces. Batches are sent to free servers whenever an order
-arrives, a call ends or results are released, and at each periodic check. Pieces whose
-call failed return to the queue as long as the bound on repeats allows it.
+one request and consists of pieces. A batch is sent when a server is free, never on a
+timer. Pieces whose call failed return to the queue as long as the bound on repeats
+allows it.
 ``policy.piece_queue`` decides which pieces form a batch, ``serving.piece_orders`` which
 entry (instance that takes requests of callers) owns a queue, and
 ``serving.piece_calls`` makes the calls.
