--- a/bench/demand.py
+++ b/bench/demand.py
@@ -44,7 +44,7 @@
     for number in range(1, ENTRIES):
         name = f"entry-{number}"
         incarnation = f"{number:016x}"
-        table.take(EntryReport(name, incarnation, 1, 0.5, demands(accounts, rng)), 0.1)
+        table.add(EntryReport(name, incarnation, 1, 0.5, demands(accounts, rng)), 0.1)
     part = DemandPart(
         "entry-0", "0" * 16, table, lambda: demands(accounts, rng), lambda: 0.5
     )
--- a/bench/peer_node.py
+++ b/bench/peer_node.py
@@ -19,7 +19,7 @@
 from boragestream.base.identifiers import new_incarnation
 from boragestream.base.settings import EntrySettings
 from boragestream.daemon.peers import make_peers
-from boragestream.daemon.tasks import take_document
+from boragestream.daemon.tasks import apply_document
 from boragestream.entry import exchange, links
 from boragestream.entry.links import LISTENER_TASKS, PeerLinks, PeerListener
 from boragestream.entry.messages import Sender, open_envelope, seal
@@ -92,12 +92,12 @@
     listener = PeerListener(sender, f"{ADDRESS}:{spec['port']}", peers.handlers)
     for _ in range(LISTENER_TASKS):
         threading.Thread(target=listener.run, daemon=True).start()
-    peers.members.take_entries(listed_entry(*entry) for entry in spec["listed"])
+    peers.members.set_listed_entries(listed_entry(*entry) for entry in spec["listed"])
     # Listed entries without a process are known, so that tables have their size.
     running = set(spec["running"])
     for name, _, _ in spec["listed"]:
         if name not in running:
-            peers.members.entries.table.take(Member(name, "0" * 16), spread=False)
+            peers.members.entries.table.merge(Member(name, "0" * 16), spread=False)
     return peers, configuration, traffic
 
 
@@ -106,11 +106,11 @@
     spec = json.loads(Path(sys.argv[1]).read_text())
     value = Path(spec["document"]).read_bytes()
     peers, configuration, traffic = start(spec)
-    take_document(value, configuration, "bench")
+    apply_document(value, configuration, "bench")
     threading.Thread(target=peers.members.exchange.run, daemon=True).start()
     taken_at = []
     clock = SystemClock()
-    configuration.when_taken(lambda: taken_at.append(clock.now()))
+    configuration.add_listener(lambda: taken_at.append(clock.now()))
     time.sleep(max(0.0, spec["begin"] - clock.now()))
     before = traffic.counts()
     if spec["publish_at"] is not None:
@@ -118,7 +118,7 @@
         document = json.loads(value)
         document["version"] = 2
         document["client_accounts"][0]["weight"] = 3.5
-        take_document(json.dumps(document).encode(), configuration, "bench")
+        apply_document(json.dumps(document).encode(), configuration, "bench")
     time.sleep(max(0.0, spec["end"] - clock.now()))
     after = traffic.counts()
     used = {key: after[key] - before[key] for key in after}
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -24,7 +24,7 @@
 from boragestream.policy.candidates import RoutingNeed
 from boragestream.policy.load import CallEnd, LoadTable
 from boragestream.policy.reports import LoadReport
-from boragestream.policy.routing import Place, routing_policies
+from boragestream.policy.routing import Location, routing_policies
 from boragestream.policy.servers import Server
 
 SIZES = (100, 400, 1600, 6700)
@@ -56,7 +56,7 @@
     loads = LoadTable(clock, rng)
     list_us = micros(lambda: loads.take_list(servers), 1)
     fill(loads, servers, rng)
-    policies = routing_policies(loads, clock, rng, lambda: Place("centre-1"))
+    policies = routing_policies(loads, clock, rng, lambda: Location("centre-1"))
     own, least = policies["expected-finish"], policies["least-connections"]
     plain = RoutingNeed(frozenset())
     prefixes = [RoutingNeed(frozenset(), prefix_key("m", str(n))) for n in range(500)]
--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -28,7 +28,7 @@
 from boragestream.entry.limits import LimitsPart
 from boragestream.policy.granters import Granters
 from boragestream.policy.limit_records import LimitRecord, server_key
-from boragestream.policy.queue_owners import owner_order
+from boragestream.policy.queue_owners import owner_ranking
 from boragestream.policy.server_limits import ServerLimits
 from boragestream.policy.servers import Server
 from boragestream.policy.shares import next_share, split
@@ -85,7 +85,7 @@
         groups = [names[: len(names) // 2], names[len(names) // 2 :]]
         groups = groups if halves else [names]
         self.first = [
-            {owner_order(f"s-{server}", group)[0] for group in groups}
+            {owner_ranking(f"s-{server}", group)[0] for group in groups}
             for server in range(SERVERS)
         ]
 
@@ -280,11 +280,11 @@
     for server in servers[::10]:
         limits.take(LimitRecord(server_key(server), 1, 150))
     granters = Granters(lambda: entries, lambda server: server.name, SystemClock())
-    granters.of(servers[0])
+    granters.for_server(servers[0])
     part = LimitsPart(limits, SimpleNamespace(ask=None), lambda n: None, lambda w: None)
     news = len(part.offer(250))
-    limits.table.news(10**6)
-    while limits.table.news(LIMITED_SERVERS):
+    limits.table.pending_records(10**6)
+    while limits.table.pending_records(LIMITED_SERVERS):
         pass
     reply = part.answer(None, SimpleNamespace(digests=(0,) * 16))
     return {
@@ -293,9 +293,9 @@
         "answer_none_limited_us": answer_free,
         "answer_us": micros(lambda: limits.note_answer(servers[0], 1.5, 0.0, True)),
         "rank_370_entries_us": micros(
-            lambda: owner_order("server", entries)[:2], ROUNDS // 10
+            lambda: owner_ranking("server", entries)[:2], ROUNDS // 10
         ),
-        "granters_known_us": micros(lambda: granters.of(servers[0])),
+        "granters_known_us": micros(lambda: granters.for_server(servers[0])),
         "offer_with_new_records_bytes": news,
         "offer_agreed_bytes": len(part.offer(250)),
         "offer_agreed_us": micros(lambda: part.offer(250)),
--- a/boragestream/caller/application.py
+++ b/boragestream/caller/application.py
@@ -185,7 +185,7 @@
             scope=scope,
             sent=SentRecord(),
             run_by=run_by,
-            ask=ask,
+            status_path=ask,
             admitted=admitted,
             fingerprint=request_digest,
         )
@@ -200,7 +200,7 @@
             return None
         for stage in parsed.pipeline.stages:
             digest = stage_fingerprint(request_digest, stage.service)
-            failure = self.quarantine.held(digest)
+            failure = self.quarantine.refusal_of(digest)
             if failure is not None:
                 return failure
         return None
--- a/boragestream/caller/forwarding.py
+++ b/boragestream/caller/forwarding.py
@@ -30,7 +30,7 @@
 from boragestream.caller.replies import StartResponse
 from boragestream.document.calls import ForwardedRequest, RequestMalformed
 from boragestream.policy.fingerprints import request_fingerprint
-from boragestream.policy.first_knowledge import FirstKnowledge
+from boragestream.policy.first_knowledge import StartupReadiness
 from boragestream.policy.route_table import (
     KeyUnknown,
     RoutesInForce,
@@ -42,7 +42,7 @@
 from boragestream.serving.forwarder import Forwarder
 from boragestream.serving.request import SentRecord
 
-__all__ = ["ForwardingApplication", "InHand", "RequestFormat"]
+__all__ = ["ForwardingApplication", "RequestCounter", "RequestFormat"]
 
 Environ = dict[str, Any]
 Reply = Iterable[bytes]
@@ -71,7 +71,7 @@
         """Return the headers of an answer that the entry generates."""
 
 
-class InHand:
+class RequestCounter:
     """Counts the requests that are being served."""
 
     def __init__(self) -> None:
@@ -107,14 +107,14 @@
     """
 
     routes: RoutesInForce
-    first: FirstKnowledge
+    first: StartupReadiness
     forwarder: Forwarder
     format: RequestFormat
     watchdog: Watchdog
     clock: Clock
     metrics: RouteMetrics
     refusing: Callable[[], bool]
-    in_hand: InHand
+    in_hand: RequestCounter
     limit: int
     used: Callable[[], None]
 
@@ -130,10 +130,10 @@
     def _answer(self, environ: Environ, start_response: StartResponse) -> Reply:
         arrived = environ.get(ARRIVED, self.clock.now())
         self.used()
-        self.first.hold()
+        self.first.wait_for_first_answers()
         table = self.routes.current
         if table is None:
-            refused = Refused(NoConfiguration(), self.first.return_seconds())
+            refused = Refused(NoConfiguration(), self.first.retry_delay_seconds())
             return self._error_reply(start_response, "", refused)
         request = self._read(environ, table.document.limits.body_bytes)
         if isinstance(request, Failure):
--- a/boragestream/caller/server.py
+++ b/boragestream/caller/server.py
@@ -14,7 +14,12 @@
 from boragestream.caller.connections import CallerConnection
 from boragestream.caller.dispatcher import GrowingDispatcher
 
-__all__ = ["busy_connections", "create_server", "leave", "stop_listening"]
+__all__ = [
+    "busy_connections",
+    "create_server",
+    "close_after_next_answers",
+    "stop_listening",
+]
 
 MAX_HEADER_BYTES = 16384
 SPARE_CONNECTIONS = 512
@@ -70,7 +75,7 @@
     return server
 
 
-def leave(server: BaseWSGIServer) -> None:
+def close_after_next_answers(server: BaseWSGIServer) -> None:
     """Close each keep-alive connection after its next answer."""
     server.leaving = True
 
--- a/boragestream/caller/ticket_runs.py
+++ b/boragestream/caller/ticket_runs.py
@@ -151,7 +151,7 @@
         self, ticket: Ticket, text: str, account: str, request_id: str
     ) -> CallState:
         """Return a ticket's state; an unused ticket becomes unusable."""
-        state = self.book.burn(ticket, account, request_id, TicketNotUsed())
+        state = self.book.void_unused(ticket, account, request_id, TicketNotUsed())
         return self._state(state, text, request_id)
 
     def remember(self, account: str, request_id: str, ending: Ending) -> None:
@@ -179,7 +179,9 @@
         parsed = _parse_post(message, in_force)
         if isinstance(parsed, Failure):
             reason = parsed
-            state = self.book.burn(ticket, message.account, message.request_id, reason)
+            state = self.book.void_unused(
+                ticket, message.account, message.request_id, reason
+            )
             return self._state(state, message.ticket, message.request_id)
         content = _content_digest(parsed)
         claimed = self.book.claim(ticket, message.account, message.request_id, content)
--- a/boragestream/caller/tickets.py
+++ b/boragestream/caller/tickets.py
@@ -237,7 +237,7 @@
         state: CallState | Failure = IssuerGone(self.name)
         if ticket.issuer != self.name:
             question = TicketAsk(text, account.name, request_id)
-            state = self.forwarder.ask(ticket.issuer, question)
+            state = self.forwarder.request(ticket.issuer, question)
         if isinstance(state, Failure):
             return render(Unknown(state, TICKET_STATE_PATH + text), request_id)
         return state
@@ -249,7 +249,7 @@
         if entry == self.name:
             return self.runs.ask_request(account.name, request_id)
         question = RequestAsk(account.name, request_id)
-        state = self.forwarder.ask(entry, question)
+        state = self.forwarder.request(entry, question)
         if isinstance(state, Failure):
             ask = f"{REQUESTS_PATH}{request_id}?entry={entry}"
             return render(Unknown(state, ask), request_id)
--- a/boragestream/daemon/background.py
+++ b/boragestream/daemon/background.py
@@ -48,7 +48,7 @@
             loads=parts.loads,
             limits=parts.limits.limits,
             take_entries=parts.listing.take,
-            take_servers=parts.peers.members.take_servers,
+            take_servers=parts.peers.members.set_listed_servers,
         ),
         Event.INSTANCES_UNREACHABLE,
         ended,
--- a/boragestream/daemon/demand.py
+++ b/boragestream/daemon/demand.py
@@ -50,7 +50,7 @@
         exchange.add_part(part)
         exchange.add_part(BaselinePart(admission.times))
 
-    def order(
+    def recommended_entries(
         self,
         account: ClientAccount,
         document: Document,
@@ -61,7 +61,7 @@
     ) -> list[Instance]:
         """Return the entries recommended to an account, in order of preference."""
         live_by_name = {entry.name: entry for entry in entries if entry.state == "live"}
-        reports = self.table.fresh()
+        reports = self.table.unexpired_reports()
         loads = {name: report.load for name, (_, report) in reports.items()}
         loads[self.own] = own_load
         total_weight = sum(other.weight for other in document.client_accounts)
--- a/boragestream/daemon/entry.py
+++ b/boragestream/daemon/entry.py
@@ -12,8 +12,8 @@
 from boragestream.base.settings import Settings
 from boragestream.caller.server import (
     busy_connections,
+    close_after_next_answers,
     create_server,
-    leave,
     stop_listening,
 )
 from boragestream.daemon.background import watch_configuration, watch_instances
@@ -86,7 +86,7 @@
         """Serve callers with cached entry lists, finish open requests, then end."""
         emit(Event.ENTRY_LEAVING, in_hand=self._parts.admission.in_hand)
         self._parts.peers.members.leave()
-        leave(self._server)
+        close_after_next_answers(self._server)
         current = self._parts.configuration.current
         keep = current.document.policies.answer_keep_seconds if current else 0.0
         code = self._stop.finish(
--- a/boragestream/daemon/limits.py
+++ b/boragestream/daemon/limits.py
@@ -16,11 +16,11 @@
 from boragestream.policy.servers import Server
 from boragestream.serving.limited_servers import LimitedServers
 
-__all__ = ["JoinedLimits", "join_limits"]
+__all__ = ["SharedLimits", "make_shared_limits"]
 
 
 @dataclass(frozen=True, slots=True)
-class JoinedLimits:
+class SharedLimits:
     """The components of one entry that enforce the limits of servers.
 
     :ivar limits: the known limit of each server.
@@ -33,7 +33,7 @@
     handlers: Mapping[type, Handler]
 
 
-def join_limits(
+def make_shared_limits(
     own: str,
     members: EntryPeers,
     links: PeerLinks,
@@ -43,7 +43,7 @@
     clock: Clock,
     rng: random.Random,
     permit_ended: Callable[[str, bool], None] = lambda service, granted: None,
-) -> JoinedLimits:
+) -> SharedLimits:
     """Connect this entry to its peers to enforce server limits jointly.
 
     :param own: this entry's name.
@@ -55,16 +55,14 @@
         whether the permit was granted.
     """
     exchange = members.exchange
-    limits = ServerLimits(clock, exchange.hurry)
+    limits = ServerLimits(clock, exchange.request_round)
 
     def membership_uncertain() -> bool:
         suspects = members.entries.in_states((MemberState.SUSPECT,))
         return bool(suspects) or not membership_agreed()
 
     granters = Granters(live, ranking_key, clock, membership_uncertain)
-    part = LimitsPart(
-        limits, links, members.address, exchange.submit, granters.look_again
-    )
+    part = LimitsPart(limits, links, members.address, exchange.submit, granters.refresh)
     exchange.add_part(part)
     permits = ServerPermits(
         own,
@@ -83,4 +81,4 @@
         PermitAsk: permits.answer,
         PermitReturn: permits.answer_return,
     }
-    return JoinedLimits(limits, limited, handlers)
+    return SharedLimits(limits, limited, handlers)
--- a/boragestream/daemon/listeners.py
+++ b/boragestream/daemon/listeners.py
@@ -110,7 +110,7 @@
     in_force: DocumentInForce,
 ) -> object:
     """Return the list of entries for a client account, as a JSON object."""
-    order = parts.demand.order(
+    order = parts.demand.recommended_entries(
         account,
         in_force.document,
         parts.listing.entries,
--- a/boragestream/daemon/listing.py
+++ b/boragestream/daemon/listing.py
@@ -1,7 +1,7 @@
 """The entries of the published list, each with the state that this entry assumes."""
 
 from boragestream.daemon.demand import Demand, live_entries
-from boragestream.daemon.peers import Peers, listed_states
+from boragestream.daemon.peers import Peers, entries_with_states
 from boragestream.daemon.tasks import to_listed_entry
 from boragestream.platform.instances import Instance
 
@@ -23,7 +23,7 @@
     @property
     def entries(self) -> tuple[Instance, ...]:
         """The listed entries, each with its assumed state."""
-        return listed_states(self._listed, self._members.entries)
+        return entries_with_states(self._listed, self._members.entries)
 
     @property
     def live_count(self) -> int:
@@ -33,8 +33,8 @@
     def take(self, entries: tuple[Instance, ...]) -> None:
         """Apply the entries of a new list."""
         self._listed = entries
-        self._demand.table.expect(live_entries(entries))
-        self._members.take_entries(map(to_listed_entry, entries))
+        self._demand.table.set_listed(live_entries(entries))
+        self._members.set_listed_entries(map(to_listed_entry, entries))
 
     def peer_address(self, name: str) -> str | None:
         """Return the address at which an entry accepts peers; None if unknown."""
--- a/boragestream/daemon/operator_values.py
+++ b/boragestream/daemon/operator_values.py
@@ -74,7 +74,7 @@
         # The servers are marked as cold before they can be chosen again.
         restored = before - centres
         self._cold.assume_cold(s for s in listed if s.data_centre in restored)
-        self._servers.take_drained(centres)
+        self._servers.set_drained(centres)
         if first and not keys:
             return
         listed_centres = {server.data_centre for server in listed}
--- a/boragestream/daemon/parts.py
+++ b/boragestream/daemon/parts.py
@@ -15,17 +15,17 @@
 from boragestream.base.observations import Observations
 from boragestream.base.settings import Settings
 from boragestream.daemon.demand import Demand
-from boragestream.daemon.limits import JoinedLimits, join_limits
+from boragestream.daemon.limits import SharedLimits, make_shared_limits
 from boragestream.daemon.listing import EntryListing
 from boragestream.daemon.peers import Peers, make_peers
-from boragestream.daemon.tasks import to_leaving
+from boragestream.daemon.tasks import to_leaving_server
 from boragestream.entry.links import PeerLinks
 from boragestream.entry.messages import Sender
 from boragestream.entry.tls import PeerTls
 from boragestream.policy.admission import Admission
 from boragestream.policy.configuration import ConfigurationInForce
 from boragestream.policy.load import LoadTable
-from boragestream.policy.routing import Place
+from boragestream.policy.routing import Location
 from boragestream.policy.servers import Server, ServerTable
 from boragestream.policy.slot_shares import SlotShares
 from boragestream.serving.parts import ServingParts, make_parts
@@ -63,7 +63,7 @@
     sender: Sender
     links: PeerLinks
     peers: Peers
-    limits: JoinedLimits
+    limits: SharedLimits
     listing: EntryListing
     serving: ServingParts
 
@@ -86,7 +86,7 @@
     # The functions below refer to components that are built later. None is called
     # before all components exist.
     def announce_leaving(server: Server) -> None:
-        peers.members.tell_leaving(to_leaving(server))
+        peers.members.announce_leaving_server(to_leaving_server(server))
 
     def live_count() -> int:
         return listing.live_count
@@ -101,10 +101,10 @@
     admission = Admission(requests, clock, rng, demand.limits, slots.share)
 
     def on_first_report(service: str) -> None:
-        if slots.note_reported(service):
-            admission.look_again()
+        if slots.note_first_report(service):
+            admission.recheck_queue()
 
-    loads.when_first_reported(on_first_report)
+    loads.on_first_report(on_first_report)
     sender = _sender(settings, incarnation)
     links = PeerLinks(sender, peer_tls)
     peers = make_peers(
@@ -113,9 +113,9 @@
     listing = EntryListing(peers, demand)
     demand.join(peers.members.exchange, incarnation, admission)
 
-    def home() -> Place:
+    def home() -> Location:
         # An entry has the region of the servers in its data centre.
-        return Place(
+        return Location(
             entry_settings.data_centre, loads.region_of(entry_settings.data_centre)
         )
 
@@ -126,7 +126,7 @@
             *(e.name for e in usable if e.name != entry_settings.name),
         ]
 
-    limits = join_limits(
+    limits = make_shared_limits(
         entry_settings.name,
         peers.members,
         links,
@@ -148,7 +148,7 @@
         home,
         observations,
     )
-    servers.when_unused(serving.connections.forget)
+    servers.on_unused(serving.connections.forget)
     return EntryParts(
         settings=settings,
         clock=clock,
--- a/boragestream/daemon/peers.py
+++ b/boragestream/daemon/peers.py
@@ -7,7 +7,7 @@
 
 from boragestream.base.clock import Clock
 from boragestream.base.settings import EntrySettings
-from boragestream.daemon.tasks import take_document
+from boragestream.daemon.tasks import apply_document
 from boragestream.entry.knowledge_messages import QuarantineAsk
 from boragestream.entry.links import Handler, PeerLinks
 from boragestream.entry.messages import DocumentAsk
@@ -27,8 +27,8 @@
     "InitialSync",
     "Peers",
     "WatchDuty",
-    "join_quarantine",
-    "listed_states",
+    "make_quarantine",
+    "entries_with_states",
     "make_peers",
 ]
 
@@ -93,8 +93,8 @@
         limit = clock.now() + INITIAL_SYNC_SECONDS
         while clock.now() < limit and not stopping.is_set():
             alone = self._members.entries.listed and not self._members.peers()
-            round_done = alone or self._members.exchange.met.is_set()
-            if round_done and not self._relay.asking:
+            round_done = alone or self._members.exchange.round_completed.is_set()
+            if round_done and not self._relay.request_in_progress:
                 return
             stopping.wait(POLL_SECONDS)
 
@@ -129,10 +129,10 @@
     """Build the components that connect an entry to its peers; start nothing."""
 
     def on_server_left(server: LeavingServer) -> None:
-        servers.take_notice((server.name, server.host, server.incarnation))
+        servers.note_leaving_identity((server.name, server.host, server.incarnation))
 
     def apply_text(text: bytes, source: str) -> bool:
-        return take_document(text, configuration, source) is not None
+        return apply_document(text, configuration, source) is not None
 
     members = EntryPeers(
         who.name, incarnation, who.data_centre, links, on_server_left, clock, rng
@@ -141,9 +141,9 @@
         configuration, apply_text, links, members.address, members.exchange.submit
     )
     members.exchange.add_part(relay)
-    configuration.when_taken(members.exchange.hurry)
+    configuration.add_listener(members.exchange.request_round)
     duty = WatchDuty(who, members.entries, configuration, rng)
-    quarantine, part = join_quarantine(who.name, members, links, clock)
+    quarantine, part = make_quarantine(who.name, members, links, clock)
     handlers = {
         **members.handlers,
         DocumentAsk: relay.answer,
@@ -153,7 +153,7 @@
     return Peers(members, duty, initial_sync, quarantine, handlers)
 
 
-def join_quarantine(
+def make_quarantine(
     own: str, members: EntryPeers, links: PeerLinks, clock: Clock
 ) -> tuple[Quarantine, QuarantinePart]:
     """Build the quarantine, which shares crashing requests among the entries.
@@ -164,13 +164,13 @@
     def usable_entries() -> list[str]:
         return [entry.name for entry in members.entries.usable()]
 
-    quarantine = Quarantine(own, usable_entries, clock, members.exchange.hurry)
+    quarantine = Quarantine(own, usable_entries, clock, members.exchange.request_round)
     part = QuarantinePart(quarantine, links, members.address, members.exchange.submit)
     members.exchange.add_part(part)
     return quarantine, part
 
 
-def listed_states(
+def entries_with_states(
     listed: Iterable[Instance], entries: EntryTable
 ) -> tuple[Instance, ...]:
     """Return the listed entries, each with its membership state as known here."""
--- a/boragestream/daemon/publication.py
+++ b/boragestream/daemon/publication.py
@@ -14,7 +14,7 @@
 from boragestream.base.clock import Clock
 from boragestream.base.events import Event, emit
 from boragestream.base.outcomes import Failure
-from boragestream.policy.confirming import Confirming
+from boragestream.policy.confirming import ConfirmationSchedule
 from boragestream.policy.operator_table import OperatorTable
 from boragestream.policy.publication import (
     Changes,
@@ -24,8 +24,8 @@
     Relayed,
     Snapshot,
 )
-from boragestream.policy.published_table import PublishedTable, Standing
-from boragestream.policy.watching import StoreFollowing
+from boragestream.policy.published_table import AnswerStatus, PublishedTable
+from boragestream.policy.watching import StoreCallSchedule
 
 __all__ = ["Publication"]
 
@@ -74,8 +74,8 @@
     prefix: str
     watch_seconds: float
     table: PublishedTable | OperatorTable
-    following: StoreFollowing
-    confirming: Confirming
+    following: StoreCallSchedule
+    confirming: ConfirmationSchedule
     take: Callable[[dict[str, bytes]], None]
     on_change: Callable[[], None]
     before_answer: Callable[[], None]
@@ -93,14 +93,14 @@
         failing = False
         gap = self.gap_seconds
         while not self.stopping.is_set():
-            if not self.following.asks(self.prefix):
+            if not self.following.should_call(self.prefix):
                 self.stopping.wait(self.following.pause_seconds(self.prefix))
                 continue
             sent_at, sent_position = self.clock.now(), self.table.position
             answer = self._request(must_read)
             standing = self._classify(answer, sent_position)
-            must_read = standing is Standing.UNCONNECTED
-            if must_read or standing is Standing.OUTDATED:
+            must_read = standing is AnswerStatus.UNCONNECTED
+            if must_read or standing is AnswerStatus.OUTDATED:
                 self.following.note_unusable(self.prefix)
                 continue
             if isinstance(answer, Failure):
@@ -126,14 +126,14 @@
 
         :returns: False if the store gave no answer.
         """
-        if not self.following.waits(self.prefix):
+        if not self.following.has_pending_watch(self.prefix):
             return True
-        must_settle = self.table.unsettled and not self.confirming.put_off
-        if not must_settle and not self.confirming.asks(self.prefix):
+        must_settle = self.table.awaits_first_answer and not self.confirming.is_delayed
+        if not must_settle and not self.confirming.should_read(self.prefix):
             return True
         sent_at, sent_position = self.clock.now(), self.table.position
         answer = self.store.watch(self.prefix, sent_position.revision, 0.0)
-        if self._classify(answer, sent_position) is Standing.UNCONNECTED:
+        if self._classify(answer, sent_position) is AnswerStatus.UNCONNECTED:
             answer = self.store.read(self.prefix)
         if isinstance(answer, HistoryGone):
             # The store was restored from a copy during the read.
@@ -147,7 +147,7 @@
             self.confirming.note_failure(self.prefix)
             self.on_failure()
             return False
-        if self._classify(answer, sent_position) is Standing.OUTDATED:
+        if self._classify(answer, sent_position) is AnswerStatus.OUTDATED:
             self.confirming.note_unusable()
             return True
         if self.confirming.failing(self.prefix):
@@ -160,29 +160,29 @@
     def take_relayed(self, relayed: Relayed) -> None:
         """Apply values that another entry relays."""
         before = self._state()
-        changed = self.table.take_relayed(relayed)
+        changed = self.table.apply_relayed(relayed)
         self._log_transition(before, "peer")
         if changed:
             self._publish()
         if self.table.revision is not None:
             self.on_answer()
 
-    def look_again(self) -> None:
+    def release_held(self) -> None:
         """Release held values whose retention time has passed."""
         before = self._state()
-        if self.table.drop_lapsed():
+        if self.table.drop_expired():
             self._log_transition(before, "time")
             self._publish()
 
     def _classify(
         self, answer: Snapshot | Changes | Failure, sent_position: Position | None
-    ) -> Standing | None:
+    ) -> AnswerStatus | None:
         """Return how the table can use an answer; None if there is no answer."""
         if isinstance(answer, HistoryGone):
-            return Standing.UNCONNECTED
+            return AnswerStatus.UNCONNECTED
         if isinstance(answer, Failure):
             return None
-        return self.table.standing(answer, sent_position)
+        return self.table.answer_status(answer, sent_position)
 
     def _request(self, must_read: bool) -> Snapshot | Changes | HistoryGone | Failure:
         revision = self.table.revision
@@ -202,7 +202,7 @@
         before = self._state()
         first = before.position is None
         self.before_answer()
-        changed = self.table.take(answer) or first
+        changed = self.table.apply_answer(answer) or first
         self._log_transition(before, "platform")
         # The values are applied before other entries are notified, since those may
         # request them at once.
@@ -269,7 +269,7 @@
         """Record an unanswered call; return whether the store counts as unreachable."""
         now = self.clock.now()
         recently = max(sent_at, now - LOST_WATCH_SECONDS)
-        was_watching = self.following.waits(self.prefix)
+        was_watching = self.following.has_pending_watch(self.prefix)
         if was_watching and self.confirming.confirmed_since(self.prefix, recently):
             emit(
                 Event.WATCH_LOST,
@@ -277,7 +277,7 @@
                 waited_ms=int((now - sent_at) * 1000),
                 failure=failure.describe(),
             )
-            self.following.note_lost(self.prefix)
+            self.following.note_call_lost(self.prefix)
             return failing
         self.table.note_failure()
         self.following.note_failure(self.prefix)
--- a/boragestream/daemon/publications.py
+++ b/boragestream/daemon/publications.py
@@ -27,13 +27,13 @@
     SERVERS_PREFIX,
     Store,
 )
-from boragestream.policy.confirming import Confirming
-from boragestream.policy.first_knowledge import FirstKnowledge
+from boragestream.policy.confirming import ConfirmationSchedule
+from boragestream.policy.first_knowledge import StartupReadiness
 from boragestream.policy.operator_table import OperatorTable
 from boragestream.policy.published_table import PublishedTable
 from boragestream.policy.route_table import RoutesInForce
 from boragestream.policy.watching import (
-    StoreFollowing,
+    StoreCallSchedule,
     is_first_watcher,
     is_watcher,
 )
@@ -62,8 +62,8 @@
     :ivar stopping: set once the entry ends.
     """
 
-    following: StoreFollowing
-    confirming: Confirming
+    following: StoreCallSchedule
+    confirming: ConfirmationSchedule
     operators: Publication
     servers: Publication
     relay: PublishedRelay
@@ -95,7 +95,7 @@
     routes: RoutesInForce,
     take_operators: Callable[[dict[str, bytes]], None],
     take_servers: Callable[[dict[str, bytes]], None],
-    first: FirstKnowledge,
+    first: StartupReadiness,
     stopping: threading.Event,
     clock: Clock,
     rng: random.Random,
@@ -110,7 +110,7 @@
     def is_designated() -> bool:
         return is_watcher(own, data_centre, members.entries.usable())
 
-    following = StoreFollowing(
+    following = StoreCallSchedule(
         clock,
         rng,
         {prefix: False, SERVERS_PREFIX: True},
@@ -123,7 +123,9 @@
         return is_first_watcher(own, members.entries.usable())
 
     prefixes = (prefix, SERVERS_PREFIX)
-    confirming = Confirming(clock, rng, prefixes, settings.bound_seconds, is_first)
+    confirming = ConfirmationSchedule(
+        clock, rng, prefixes, settings.bound_seconds, is_first
+    )
     servers_table = PublishedTable(clock.now, MAX_KEPT_CHANGES)
     follow = partial(
         Publication,
@@ -131,7 +133,7 @@
         watch_seconds=settings.watch_seconds,
         following=following,
         confirming=confirming,
-        on_change=members.exchange.hurry,
+        on_change=members.exchange.request_round,
         # Each answer counts, whichever prefix it is for: a watch of the servers that
         # stays open during an outage is answered only at the next change of a server,
         # which can be a long time later.
--- a/boragestream/daemon/published_servers.py
+++ b/boragestream/daemon/published_servers.py
@@ -10,14 +10,14 @@
 from dataclasses import replace
 
 from boragestream.base.events import Event, emit
-from boragestream.daemon.tasks import to_leaving
+from boragestream.daemon.tasks import to_leaving_server
 from boragestream.entry.peers import EntryPeers
 from boragestream.platform.published import PublishedMalformed, read_server
 from boragestream.policy.cold_servers import ColdServers
 from boragestream.policy.load import LoadTable
 from boragestream.policy.publication import NO_ERA, Position
 from boragestream.policy.server_limits import ServerLimits
-from boragestream.policy.server_lives import ServerLives
+from boragestream.policy.server_lives import ServerIncarnations
 from boragestream.policy.servers import Server, ServerState, ServerTable
 
 __all__ = ["PublishedServers"]
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        lives: ServerLives,
+        lives: ServerIncarnations,
         members: EntryPeers,
         servers: ServerTable,
         loads: LoadTable,
@@ -79,9 +79,9 @@
             self._values = values
             self._apply()
 
-    def look_again(self) -> None:
+    def reapply(self) -> None:
         """Apply the list again if an earlier incarnation of a server is ignored."""
-        if not self._lives.settling:
+        if not self._lives.ignores_earlier:
             return
         with self._lock:
             self._apply()
@@ -91,7 +91,9 @@
         leaving_before = _leaving(self._servers.all)
         self._listed_cold = []
         listed = self._lives.take_list(self._decode())
-        self._members.take_servers(tuple(to_leaving(server) for server in listed))
+        self._members.set_listed_servers(
+            tuple(to_leaving_server(server) for server in listed)
+        )
         self._limits.take_list(listed)
         self._servers.take_list(listed)
         self._loads.take_list(listed)
--- a/boragestream/daemon/response_hints.py
+++ b/boragestream/daemon/response_hints.py
@@ -5,11 +5,11 @@
 from boragestream.backend.forwarded_call import NoteHead
 from boragestream.base.events import Event, emit
 from boragestream.document.calls import AnswerHead, LimitMalformed, RunClaim
-from boragestream.entry.limits import note_limit_change
+from boragestream.entry.limits import log_limit_change
 from boragestream.policy.server_backoffs import ServerBackoffs
 from boragestream.policy.server_limits import ServerLimits
 from boragestream.policy.servers import Server, ServerTable
-from boragestream.serving.ejections import note_backoff
+from boragestream.serving.ejections import log_backoff
 
 __all__ = ["response_hints"]
 
@@ -22,7 +22,7 @@
     def note_head(server: Server, head: AnswerHead, sent_at: float) -> None:
         if head.backoff_seconds is not None:
             backoffs.note(server, head.backoff_seconds)
-            note_backoff(server, head.backoff_seconds)
+            log_backoff(server, head.backoff_seconds)
         if head.leaving and servers.note_leaving(server):
             emit(Event.SERVER_SAID_LEAVING, server=server.name, service=server.service)
         limit = head.request_limit
@@ -30,6 +30,6 @@
         same_server = head.claim is not RunClaim.OTHER_SERVER
         if same_server and not isinstance(limit, LimitMalformed):
             succeeded = head.status == HTTPStatus.OK
-            note_limit_change(limits.note_answer(server, limit, sent_at, succeeded))
+            log_limit_change(limits.note_answer(server, limit, sent_at, succeeded))
 
     return note_head
--- a/boragestream/daemon/route_entry.py
+++ b/boragestream/daemon/route_entry.py
@@ -17,11 +17,11 @@
 from boragestream.base.settings import CallerSettings, StopSettings
 from boragestream.caller.directory import DirectoryApplication
 from boragestream.caller.dispatcher import GrowingDispatcher
-from boragestream.caller.forwarding import ForwardingApplication, InHand
+from boragestream.caller.forwarding import ForwardingApplication, RequestCounter
 from boragestream.caller.server import (
     busy_connections,
+    close_after_next_answers,
     create_server,
-    leave,
     stop_listening,
 )
 from boragestream.daemon.background_tasks import BackgroundTasks
@@ -92,7 +92,7 @@
         stop = StopSettings(self._linger_seconds, max(0.1, drain_seconds))
         self._stop = GracefulStop(stop, clock)
         self._refusing = threading.Event()
-        self._in_hand = InHand()
+        self._in_hand = RequestCounter()
         self._tasks = BackgroundTasks()
         self._add_gauges()
         self._server = self._open_callers(sockets)
@@ -100,9 +100,9 @@
         self._listener = PeerListener(
             self._parts.sender, settings.listen.entries, self._parts.handlers
         )
-        self._parts.routes.when_taken(self._apply_limits)
+        self._parts.routes.add_listener(self._apply_limits)
         self._apply_settings(settings)
-        in_force.when_changed(self._apply_settings)
+        in_force.on_change(self._apply_settings)
 
     def run(self) -> ExitCode:
         """Serve until ``stop`` is called, then finish the open requests."""
@@ -159,7 +159,7 @@
     def _finish(self) -> ExitCode:
         emit(Event.ENTRY_LEAVING, in_hand=busy_connections(self._server))
         self._parts.members.leave()
-        leave(self._server)
+        close_after_next_answers(self._server)
         code = self._stop.finish(
             self._clock.now() + self._linger_seconds,
             self._refuse,
@@ -257,14 +257,14 @@
         """Refresh the addresses, published values, piece queues and settings."""
         rounds = 0
         while not self._parts.ended.wait(UPKEEP_SECONDS):
-            self._parts.address_sync.look_again()
-            self._parts.publications.servers.look_again()
-            self._parts.publications.operators.look_again()
-            self._parts.published_servers.look_again()
-            self._parts.batches.look_again()
-            self._parts.orders.look_again()
+            self._parts.address_sync.request_until_agreed()
+            self._parts.publications.servers.release_held()
+            self._parts.publications.operators.release_held()
+            self._parts.published_servers.reapply()
+            self._parts.batches.update_queues()
+            self._parts.orders.forget_ended_orders()
             rounds += 1
             if rounds % ROUNDS_PER_RELOAD == 0:
-                self._parts.book.tell_again()
+                self._parts.book.notify_changed()
                 # The file may change without a SIGHUP.
                 self._in_force.reload()
--- a/boragestream/daemon/route_parts.py
+++ b/boragestream/daemon/route_parts.py
@@ -16,9 +16,9 @@
 from boragestream.base.identifiers import new_incarnation
 from boragestream.base.route_metrics import RouteMetrics
 from boragestream.base.route_settings import RouteSettings
-from boragestream.daemon.limits import JoinedLimits, join_limits
+from boragestream.daemon.limits import SharedLimits, make_shared_limits
 from boragestream.daemon.operator_values import OperatorValues, offer_route_text
-from boragestream.daemon.peers import join_quarantine
+from boragestream.daemon.peers import make_quarantine
 from boragestream.daemon.publications import (
     AWAITED_KEYS,
     Publications,
@@ -27,7 +27,7 @@
 from boragestream.daemon.published_servers import PublishedServers
 from boragestream.daemon.response_hints import response_hints
 from boragestream.daemon.settings_in_force import SettingsInForce
-from boragestream.daemon.tasks import to_leaving
+from boragestream.daemon.tasks import to_leaving_server
 from boragestream.document.routes import PieceLimits, RouteService
 from boragestream.entry.address_sync import AddressSync
 from boragestream.entry.addresses import AddressBook
@@ -53,17 +53,17 @@
 from boragestream.policy.cold_servers import ColdBound, ColdServers, senders
 from boragestream.policy.connection_shares import idle_connections
 from boragestream.policy.engine_delays import EngineDelays
-from boragestream.policy.first_knowledge import FirstKnowledge
+from boragestream.policy.first_knowledge import StartupReadiness
 from boragestream.policy.leaving import LeavingServer
 from boragestream.policy.load import LoadTable
 from boragestream.policy.peers import ListedEntry
 from boragestream.policy.quarantine import Quarantine
-from boragestream.policy.queue_owners import able_entries, owner_order
+from boragestream.policy.queue_owners import eligible_entries, owner_ranking
 from boragestream.policy.retry_window import RetryBounds, RetryWindows
 from boragestream.policy.route_table import RoutesInForce
 from boragestream.policy.server_backoffs import ServerBackoffs
 from boragestream.policy.server_choice import ServerChoice
-from boragestream.policy.server_lives import ServerLives
+from boragestream.policy.server_lives import ServerIncarnations
 from boragestream.policy.servers import Server, ServerTable
 from boragestream.policy.stage_delays import StageDelays
 from boragestream.serving.forward_attempt import ForwardParts
@@ -112,7 +112,7 @@
     servers: ServerTable
     loads: LoadTable
     cold: ColdServers
-    limits: JoinedLimits
+    limits: SharedLimits
     quarantine: Quarantine
     quarantine_part: QuarantinePart
     published_servers: PublishedServers
@@ -120,7 +120,7 @@
     metrics: RouteMetrics
     publications: Publications
     ended: threading.Event
-    first: FirstKnowledge
+    first: StartupReadiness
     sender: Sender
     book: AddressBook
     address_sync: AddressSync
@@ -169,10 +169,10 @@
     # These functions refer to objects that are built below, and nothing calls them
     # before all objects are built.
     def announce_leaving(server: Server) -> None:
-        members.tell_leaving(to_leaving(server))
+        members.announce_leaving_server(to_leaving_server(server))
 
     def note_server_leaving(server: LeavingServer) -> None:
-        servers.take_notice((server.name, server.host, server.incarnation))
+        servers.note_leaving_identity((server.name, server.host, server.incarnation))
 
     drains_centres = settings.store.draining_ms is not None
     servers = ServerTable(announce_leaving, awaits_orders=drains_centres)
@@ -183,7 +183,7 @@
     capacity = settings.resources.capacity
     callers = settings.listen.callers
     listed = ListedEntry(own, callers, own, data_centre, capacity=capacity)
-    book = AddressBook(listed, rng, members.take_entries)
+    book = AddressBook(listed, rng, members.set_listed_entries)
     relay = ConfigurationRelay(
         routes,
         lambda text, source: offer_route_text(routes, text, source, None),
@@ -192,17 +192,17 @@
         members.exchange.submit,
     )
     members.exchange.add_part(relay)
-    quarantine, quarantine_part = join_quarantine(own, members, links, clock)
+    quarantine, quarantine_part = make_quarantine(own, members, links, clock)
     members.exchange.add_part(book)
     sync = AddressSync(book, links, members.exchange.submit, clock, rng)
     members.exchange.add_part(sync)
-    routes.when_taken(lambda table: members.exchange.hurry())
+    routes.add_listener(lambda table: members.exchange.request_round())
 
     def eligible() -> Sequence[str]:
         other_entries = [
             e for e in members.entries.usable() if e.host and e.name != own
         ]
-        return able_entries([*other_entries, listed])
+        return eligible_entries([*other_entries, listed])
 
     def retry_bounds() -> RetryBounds:
         bounds = in_force.current.retries
@@ -210,7 +210,7 @@
 
     retries = RetryWindows(clock.now, retry_bounds, lambda: len(book.entries))
     connections = ConnectionKeeper(CONNECT_SECONDS)
-    servers.when_unused(connections.forget)
+    servers.on_unused(connections.forget)
 
     def service_definition(service: str) -> RouteService | None:
         table = routes.current
@@ -232,13 +232,13 @@
         staged = piece_limits(server.service) is not None
         return server.service if staged else server.name
 
-    limits = join_limits(
+    limits = make_shared_limits(
         own,
         members,
         links,
         eligible,
         granted_by,
-        lambda: sync.agreed,
+        lambda: sync.has_converged,
         clock,
         rng,
         metrics.permit_ended,
@@ -258,17 +258,17 @@
     def cold_senders(server: Server) -> list[str]:
         if piece_limits(server.service) is not None:
             # Only the owner of a stage's queue calls its servers.
-            return owner_order(server.service, eligible())
+            return owner_ranking(server.service, eligible())
         usable = {entry.name for entry in members.entries.usable() if entry.host}
         return senders(server, usable | {own})
 
-    cold = ColdServers(own, cold_bound, cold_senders, lambda: sync.agreed, clock)
+    cold = ColdServers(own, cold_bound, cold_senders, lambda: sync.has_converged, clock)
 
     # Orders arrive only once the entry listens, when all objects are built.
     def record_use() -> None:
         publications.confirming.note_use()
 
-    first = FirstKnowledge(clock, AWAITED_KEYS)
+    first = StartupReadiness(clock, AWAITED_KEYS)
     ended = threading.Event()
     owners = OwnerLinks(own, eligible, links, clock)
     orders = PieceOrders(owners, clock)
@@ -285,22 +285,22 @@
         watchdog=watchdog,
         clock=clock,
         metrics=metrics,
-        limits=piece_limits,
-        used=record_use,
+        piece_limits=piece_limits,
+        note_use=record_use,
     )
-    batches = PieceBatches(batch_parts, orders.done)
-    orders.join(batches)
+    batches = PieceBatches(batch_parts, orders.report_results)
+    orders.set_batches(batches)
     bookings = PieceBookings(owners, batches, clock)
     engine_delays = EngineDelays()
     published_servers = PublishedServers(
-        ServerLives(clock),
+        ServerIncarnations(clock),
         members,
         servers,
         loads,
         cold,
         limits.limits,
         settings.regions,
-        batches.look_again,
+        batches.update_queues,
         lambda: publications.servers.table.position,
     )
     operator_values = OperatorValues(
@@ -309,7 +309,7 @@
         ),
         servers,
         cold,
-        batches.look_again,
+        batches.update_queues,
         lambda: publications.confirming.age(),
     )
     publications = make_publications(
--- a/boragestream/daemon/settings_in_force.py
+++ b/boragestream/daemon/settings_in_force.py
@@ -38,7 +38,7 @@
         """The settings in force."""
         return self._current
 
-    def when_changed(self, listener: Callable[[RouteSettings], None]) -> None:
+    def on_change(self, listener: Callable[[RouteSettings], None]) -> None:
         """Register a function to call with the new settings after each change."""
         self._listeners.append(listener)
 
--- a/boragestream/daemon/tasks.py
+++ b/boragestream/daemon/tasks.py
@@ -24,8 +24,8 @@
     "WatchSchedule",
     "apply_instances",
     "apply_published",
-    "take_document",
-    "to_leaving",
+    "apply_document",
+    "to_leaving_server",
     "to_listed_entry",
     "to_server",
     "watch_platform",
@@ -114,7 +114,7 @@
         remaining -= ROLE_CHECK_SECONDS
 
 
-def take_document(
+def apply_document(
     value: bytes, configuration: ConfigurationInForce, source: str
 ) -> Offer | None:
     """Check a published document and offer it; return None if it is invalid."""
@@ -141,7 +141,7 @@
     """
     if configuration.current is None:
         before_first()
-    take_document(value, configuration, source="platform")
+    apply_document(value, configuration, source="platform")
 
 
 def apply_instances(
@@ -159,7 +159,7 @@
         emit(Event.INSTANCES_INVALID, faults=fault_texts)
         return
     backends = [i for i in instances if i.service != ENTRY_SERVICE]
-    take_servers(tuple(to_leaving(to_server(i)) for i in backends))
+    take_servers(tuple(to_leaving_server(to_server(i)) for i in backends))
     listed = tuple(to_server(instance) for instance in backends)
     limits.take_list(listed)
     servers.take_list(listed)
@@ -181,7 +181,7 @@
     )
 
 
-def to_leaving(server: Server) -> LeavingServer:
+def to_leaving_server(server: Server) -> LeavingServer:
     """Return the notice that entries send one another when a server leaves."""
     return LeavingServer(server.name, server.host, server.incarnation)
 
--- a/boragestream/entry/address_sync.py
+++ b/boragestream/entry/address_sync.py
@@ -73,7 +73,7 @@
         self._lock = threading.Lock()
 
     @property
-    def agreed(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether the last few peers that answered know the same entries."""
         return (
             self._agreements >= REQUIRED_AGREEMENTS or not self._book.other_addresses()
@@ -94,7 +94,7 @@
             self._agreements = 0
             self._start_request(sender)
 
-    def look_again(self) -> None:
+    def request_until_agreed(self) -> None:
         """Request a random entry's book until enough peers in a row have agreed."""
         if self._agreements >= REQUIRED_AGREEMENTS:
             return
--- a/boragestream/entry/addresses.py
+++ b/boragestream/entry/addresses.py
@@ -94,7 +94,7 @@
                 self._entries.setdefault(address, seed)
         self._on_change(self.entries)
 
-    def tell_again(self) -> None:
+    def notify_changed(self) -> None:
         """Call ``changed`` with all entries, so that no known entry expires there."""
         self._on_change(self.entries)
 
--- a/boragestream/entry/baselines.py
+++ b/boragestream/entry/baselines.py
@@ -63,4 +63,4 @@
         for pipeline, stage, streamed, microseconds in baselines[:MAX_BASELINES]:
             if microseconds > 0:
                 seconds = microseconds / 1_000_000
-                self._times.take_baseline(pipeline, stage, seconds, streamed)
+                self._times.adopt_baseline(pipeline, stage, seconds, streamed)
--- a/boragestream/entry/demand.py
+++ b/boragestream/entry/demand.py
@@ -105,11 +105,11 @@
             emit(Event.PEER_FRAME_REFUSED, peer=sender, reason=repr(error))
             return
         for packed in reports:
-            self._table.take(_unpack(packed), packed.age_ms / 1000)
+            self._table.add(_unpack(packed), packed.age_ms / 1000)
 
     def _in_forwarding_order(self) -> list[tuple[float, EntryReport]]:
         """Return the others' reports, unforwarded ones first, then by age."""
-        reports = self._table.fresh()
+        reports = self._table.unexpired_reports()
         return sorted(
             reports.values(),
             key=lambda aged: (
--- a/boragestream/entry/exchange.py
+++ b/boragestream/entry/exchange.py
@@ -33,7 +33,7 @@
     ProbeForReply,
     ProbeReply,
 )
-from boragestream.entry.parts import ExchangePart, collect, hand_out
+from boragestream.entry.parts import ExchangePart, collect_offers, distribute_offers
 
 __all__ = ["Peer", "PeerDirectory", "PeerExchange", "choose_peers"]
 
@@ -156,12 +156,12 @@
         """Register a part; the first one registered has priority in each message."""
         self._parts.append(part)
 
-    def hurry(self) -> None:
+    def request_round(self) -> None:
         """Start the next round early, because there is an update to send."""
         self._urgent.set()
 
     @property
-    def met(self) -> threading.Event:
+    def round_completed(self) -> threading.Event:
         """Set once every exchange that was in progress has succeeded or failed."""
         return self._round_completed
 
@@ -212,7 +212,7 @@
 
     def answer(self, envelope: Envelope, message: Exchange) -> ExchangeReply:
         """Process the parts of a peer's message and return this entry's parts."""
-        hand_out(self._parts, envelope.sender, message.parts)
+        distribute_offers(self._parts, envelope.sender, message.parts)
         self._directory.note_reached(envelope.sender)
         return ExchangeReply(self._collect())
 
@@ -229,7 +229,7 @@
             message = Exchange(self._collect())
             reply = self._links.ask(peer.address, message, EXCHANGE_TIMEOUT_SECONDS)
             if isinstance(reply, ExchangeReply):
-                hand_out(self._parts, peer.name, reply.parts)
+                distribute_offers(self._parts, peer.name, reply.parts)
                 self._note_reached(peer.name)
             else:
                 self._confirm_missed(peer)
@@ -273,7 +273,7 @@
 
     def _collect(self) -> dict[str, bytes]:
         self._messages_sent += 1
-        return collect(self._parts, self._messages_sent)
+        return collect_offers(self._parts, self._messages_sent)
 
 
 def _run_logging_errors(task: Callable[[], None]) -> None:
--- a/boragestream/entry/forwarding.py
+++ b/boragestream/entry/forwarding.py
@@ -64,7 +64,7 @@
         :param deadline: the clock time in seconds after which the last known state is
             returned, even if the call is in progress.
         """
-        state = self.ask(issuer, message)
+        state = self.request(issuer, message)
         query = TicketAsk(message.ticket, message.account, message.request_id)
         interval = MIN_POLL_INTERVAL_SECONDS
         while isinstance(state, CallState) and not state.outcome:
@@ -73,10 +73,10 @@
                 break
             time.sleep(min(interval, left))
             interval = min(interval * POLL_INTERVAL_GROWTH, MAX_POLL_INTERVAL_SECONDS)
-            state = self.ask(issuer, query)
+            state = self.request(issuer, query)
         return state
 
-    def ask(
+    def request(
         self, issuer: str, message: TicketPost | TicketAsk | RequestAsk
     ) -> CallState | IssuerGone | IssuerUnreachable:
         """Send a message to an entry and return the call's state or a failure."""
--- a/boragestream/entry/limits.py
+++ b/boragestream/entry/limits.py
@@ -19,7 +19,7 @@
 from boragestream.policy.limit_records import SERVER_KEY_BYTES, LimitChange, LimitRecord
 from boragestream.policy.server_limits import ServerLimits
 
-__all__ = ["LimitsPart", "note_limit_change", "pack_limit", "unpack_limit"]
+__all__ = ["LimitsPart", "log_limit_change", "pack_limit", "unpack_limit"]
 
 # The most records in one message; further ones are offered in the next.
 MAX_OFFERED_RECORDS = 8
@@ -76,7 +76,7 @@
         """Return the encoded digest and as many new records as fit."""
         self._each_message()
         room = max(0, budget - OFFER_OVERHEAD_BYTES) // MAX_RECORD_BYTES
-        new = self._limits.table.news(min(MAX_OFFERED_RECORDS, room))
+        new = self._limits.table.pending_records(min(MAX_OFFERED_RECORDS, room))
         records = self._pack(new)
         data = _encoder.encode(LimitsOffer(self._digest(), records))
         return data if len(data) <= budget else b""
@@ -94,7 +94,7 @@
     def answer(self, envelope: Envelope, message: LimitsAsk) -> LimitsReply:
         """Return the records of the buckets whose digests differ from the peer's."""
         table = self._limits.table
-        records = table.in_buckets(table.differing(message.digests))
+        records = table.records_in_buckets(table.differing_buckets(message.digests))
         return LimitsReply(self._pack(records))
 
     def _pack(self, records: Iterable[LimitRecord]) -> tuple[PackedLimit, ...]:
@@ -116,7 +116,7 @@
                     Event.PEER_FRAME_REFUSED, peer=peer, reason="malformed limit record"
                 )
                 continue
-            note_limit_change(self._limits.take(record, age), peer, age)
+            log_limit_change(self._limits.take(record, age), peer, age)
 
 
 def pack_limit(record: LimitRecord, age_seconds: float) -> PackedLimit:
@@ -132,7 +132,7 @@
     return LimitRecord(server, revision, limit), age_ms / 1000
 
 
-def note_limit_change(
+def log_limit_change(
     change: LimitChange | None, peer: str = "", age_seconds: float = 0.0
 ) -> None:
     """Log that a server's limit has changed.
--- a/boragestream/entry/members.py
+++ b/boragestream/entry/members.py
@@ -89,8 +89,11 @@
             _pack_member(self._entries.own),
             reduce(xor, table.digests),
             reduce(xor, self._servers.digests),
-            tuple(_pack_member(m) for m in table.news(MEMBERS_PER_MESSAGE)),
-            tuple(_pack_server(s) for s in self._servers.news(SERVERS_PER_MESSAGE)),
+            tuple(_pack_member(m) for m in table.pending_records(MEMBERS_PER_MESSAGE)),
+            tuple(
+                _pack_server(s)
+                for s in self._servers.pending_records(SERVERS_PER_MESSAGE)
+            ),
         )
         data = _encoder.encode(offer)
         return data if len(data) <= budget else b""
@@ -103,7 +106,7 @@
             emit(Event.PEER_FRAME_REFUSED, peer=sender, reason=repr(error))
             return
         for packed in (offer.own, *offer.members):
-            self._entries.take(Member(*packed))
+            self._entries.merge(Member(*packed))
         for packed in offer.servers:
             self._on_leaving_server(LeavingServer(*packed))
         same = offer.digest == reduce(xor, self._entries.table.digests)
@@ -122,9 +125,11 @@
     def answer_repair(self, envelope: Envelope, message: Repair) -> RepairReply:
         """Return the records of the buckets that differ from the peer's."""
         table = self._entries.table
-        members = table.in_buckets(table.differing(message.digests.get(MEMBERS, ())))
-        differing = self._servers.differing(message.digests.get(SERVERS, ()))
-        servers = self._servers.in_buckets(differing)
+        members = table.records_in_buckets(
+            table.differing_buckets(message.digests.get(MEMBERS, ()))
+        )
+        differing = self._servers.differing_buckets(message.digests.get(SERVERS, ()))
+        servers = self._servers.records_in_buckets(differing)
         return RepairReply(
             {
                 MEMBERS: _encoder.encode([_pack_member(m) for m in members]),
@@ -135,7 +140,7 @@
     def merge_repair(self, reply: RepairReply) -> None:
         """Merge the records that a peer sent."""
         for packed in _members_decoder.decode(reply.records[MEMBERS]):
-            self._entries.take(Member(*packed))
+            self._entries.merge(Member(*packed))
         for packed in _servers_decoder.decode(reply.records[SERVERS]):
             self._on_leaving_server(LeavingServer(*packed))
 
--- a/boragestream/entry/open_questions.py
+++ b/boragestream/entry/open_questions.py
@@ -6,13 +6,13 @@
 
 import threading
 
-__all__ = ["OpenQuestions"]
+__all__ = ["OpenRequests"]
 
 # A request to a suspended peer may hang; a second peer can be asked meanwhile.
 MAX_OPEN_REQUESTS = 2
 
 
-class OpenQuestions:
+class OpenRequests:
     """The peers to which a request of one kind is in progress; thread-safe."""
 
     def __init__(self) -> None:
--- a/boragestream/entry/owner_questions.py
+++ b/boragestream/entry/owner_questions.py
@@ -12,7 +12,7 @@
 from boragestream.entry.links import PeerLinks
 from boragestream.entry.messages import Message
 
-__all__ = ["OwnerQuestions"]
+__all__ = ["OwnerRequests"]
 
 # A live entry answers at once.
 REPLY_TIMEOUT_SECONDS = 0.3
@@ -21,7 +21,7 @@
 Reply = TypeVar("Reply")
 
 
-class OwnerQuestions:
+class OwnerRequests:
     """Sends requests to other entries and remembers which gave no answer."""
 
     def __init__(self, links: PeerLinks, clock: Clock) -> None:
@@ -29,11 +29,11 @@
         self._clock = clock
         self._skipped_until: dict[str, float] = {}
 
-    def is_passed_over(self, entry: str) -> bool:
+    def is_skipped(self, entry: str) -> bool:
         """Return whether an entry gave no answer in the last ``SKIP_SECONDS``."""
         return self._skipped_until.get(entry, 0.0) > self._clock.now()
 
-    def ask(
+    def request(
         self, entry: str, address: str, message: Message, reply_type: type[Reply]
     ) -> Reply | None:
         """Send a request; return the reply, or None and skip the entry for a time.
--- a/boragestream/entry/parts.py
+++ b/boragestream/entry/parts.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-__all__ = ["EXCHANGE_BYTES", "ExchangePart", "collect", "hand_out"]
+__all__ = ["EXCHANGE_BYTES", "ExchangePart", "collect_offers", "distribute_offers"]
 
 # An entry starts two exchanges per second and answers two, which makes eight messages
 # per second. With envelopes and headers, 600 bytes of parts in each message stay below
@@ -40,7 +40,7 @@
         """
 
 
-def collect(parts: Sequence[ExchangePart], turn: int) -> dict[str, bytes]:
+def collect_offers(parts: Sequence[ExchangePart], turn: int) -> dict[str, bytes]:
     """Return the offers of one message, within the limit of ``EXCHANGE_BYTES``.
 
     :param parts: the parts; the first always gets space before all others.
@@ -62,7 +62,7 @@
     return collected
 
 
-def hand_out(
+def distribute_offers(
     parts: Sequence[ExchangePart], sender: str, collected: dict[str, bytes]
 ) -> None:
     """Pass a peer's offers to the parts of the same name; ignore unknown names."""
--- a/boragestream/entry/peer_questions.py
+++ b/boragestream/entry/peer_questions.py
@@ -14,7 +14,7 @@
 from boragestream.base.events import Event, emit
 from boragestream.entry.links import PeerLinks
 from boragestream.entry.messages import Message
-from boragestream.entry.open_questions import OpenQuestions
+from boragestream.entry.open_questions import OpenRequests
 
 __all__ = ["PeerRequests", "decode_offer"]
 
@@ -46,7 +46,7 @@
         self._submit = submit
         self._make_request = make_request
         self._on_reply = on_reply
-        self._open_requests = OpenQuestions()
+        self._open_requests = OpenRequests()
 
     def request(self, peer: str) -> None:
         """Send a request to a peer unless one is in progress."""
--- a/boragestream/entry/peers.py
+++ b/boragestream/entry/peers.py
@@ -96,7 +96,7 @@
                 entry.peer_address,
                 entry.data_centre,
                 self._entries.state(entry.name) is MemberState.SUSPECT,
-                self._entries.missed(entry.name),
+                self._entries.last_exchange_failed(entry.name),
             )
             for entry in self._entries.in_states(states)
             if entry.name != self._name
@@ -108,28 +108,28 @@
 
     def note_missed(self, name: str) -> bool:
         """Record that a peer did not answer; True if others should probe it too."""
-        return self._entries.note_missed(name)
+        return self._entries.note_unanswered(name)
 
     def note_unreached(self, name: str) -> None:
         """Record that the probe of another entry also failed to reach the peer."""
         emit(Event.ENTRY_SUSPECTED, entry=name)
-        self._entries.note_unreached(name)
+        self._entries.note_unreachable(name)
 
     def recent_losses(self) -> int:
         """Return how many entries became unreachable in the last seconds."""
-        return self._entries.lost_lately()
+        return self._entries.recent_loss_count()
 
-    def take_entries(self, listed: Iterable[ListedEntry]) -> None:
+    def set_listed_entries(self, listed: Iterable[ListedEntry]) -> None:
         """Replace the list of entries with the published one."""
         before = self._peer_addresses()
-        self._entries.take_list(listed)
+        self._entries.apply_list(listed)
         after = self._peer_addresses()
         for address in before - after:
             self._links.forget(address)
         if after - before:
             self._schedule_round()
 
-    def take_servers(self, listed: Iterable[LeavingServer]) -> None:
+    def set_listed_servers(self, listed: Iterable[LeavingServer]) -> None:
         """Update which backend servers are listed, before they are put to use.
 
         Records of leaving servers that are not listed are kept for a while, since a
@@ -145,32 +145,32 @@
         ]
         for key in expired:
             del self._server_listed_at[key]
-        self._leaving_servers.drop(expired)
+        self._leaving_servers.remove(expired)
         for server in self._leaving_servers.records.values():
             self._on_server_leaving(server)
 
-    def tell_leaving(self, server: LeavingServer) -> None:
+    def announce_leaving_server(self, server: LeavingServer) -> None:
         """Notify the other entries of a backend server that says it is leaving."""
-        if self._leaving_servers.take(server):
+        if self._leaving_servers.merge(server):
             self._exchange.start_round()
 
     def leave(self) -> None:
         """Notify the other entries that this one is leaving."""
-        self._entries.say(MemberState.LEAVING)
+        self._entries.announce_state(MemberState.LEAVING)
         self._exchange.start_round()
 
     def _peer_addresses(self) -> set[str]:
         return {entry.peer_address for entry in self._entries.listed}
 
     def _schedule_round(self) -> None:
-        self._exchange.hurry()
+        self._exchange.request_round()
 
     def _add_leaving_server(self, server: LeavingServer) -> None:
         # A report about a server that is not listed here is applied, since the list
         # may lag, but not propagated, so that reports about removed servers stop
         # circulating.
         self._on_server_leaving(server)
-        if server.key in self._server_listed_at and self._leaving_servers.take(server):
+        if server.key in self._server_listed_at and self._leaving_servers.merge(server):
             self._schedule_round()
 
     def _submit_repair(self, name: str) -> None:
--- a/boragestream/entry/published_relay.py
+++ b/boragestream/entry/published_relay.py
@@ -25,10 +25,10 @@
 )
 from boragestream.entry.links import PeerLinks
 from boragestream.entry.messages import Envelope
-from boragestream.entry.open_questions import OpenQuestions
+from boragestream.entry.open_questions import OpenRequests
 from boragestream.entry.relay import RelayedVersion
-from boragestream.policy.confirming import Confirming
-from boragestream.policy.operator_table import ORDER, OperatorTable
+from boragestream.policy.confirming import ConfirmationSchedule
+from boragestream.policy.operator_table import DRAIN_ORDER_VALUE, OperatorTable
 from boragestream.policy.publication import (
     NO_ERA,
     Change,
@@ -38,7 +38,7 @@
     Write,
 )
 from boragestream.policy.published_table import PublishedTable
-from boragestream.policy.watching import StoreFollowing
+from boragestream.policy.watching import StoreCallSchedule
 
 __all__ = ["PublishedRelay"]
 
@@ -130,8 +130,8 @@
 
     def __init__(
         self,
-        following: StoreFollowing,
-        confirming: Confirming,
+        following: StoreCallSchedule,
+        confirming: ConfirmationSchedule,
         servers: PublishedTable,
         operators: OperatorTable,
         in_force: Callable[[], RelayedVersion | None],
@@ -153,7 +153,7 @@
         self._address = address
         self._submit = submit
         self._clock = clock
-        self._open_requests = OpenQuestions()
+        self._open_requests = OpenRequests()
         self._requested_digests: deque[int] = deque(maxlen=MAX_REQUESTED_DIGESTS)
 
     def offer(self, budget: int) -> bytes:
@@ -170,7 +170,7 @@
         orders = [c for c in drained.changes if c.key not in withheld]
         offer = PublishedOffer(
             _milliseconds(age),
-            _milliseconds(self._following.trouble_seconds()),
+            _milliseconds(self._following.seconds_since_failure()),
             servers.revision,
             configuration.revision,
             in_force.version,
@@ -208,7 +208,7 @@
 
     def answer(self, envelope: Envelope, message: PublishedAsk) -> PublishedReply:
         """Return to a peer the changes since its position."""
-        relayed = self._servers.since(message.after, message.era)
+        relayed = self._servers.changes_since(message.after, message.era)
         if relayed is None:
             return PublishedReply()
         return PublishedReply(
@@ -269,14 +269,16 @@
             return
         if in_force.version == offer.version:
             position = offer.configuration_position
-            self._operators.take_revision(position.revision, position.era)
+            self._operators.advance_configuration_revision(
+                position.revision, position.era
+            )
         elapsed = self._clock.now() - received_at
         trouble = math.inf
         if offer.trouble_ms < MAX_AGE_MS:
             trouble = offer.trouble_ms / 1000 + elapsed
-        self._following.take_notice(offer.age_ms / 1000 + elapsed, trouble)
+        self._following.note_relayed_age(offer.age_ms / 1000 + elapsed, trouble)
         if offer.confirmed_ms < MAX_AGE_MS:
-            self._confirming.take_notice(offer.confirmed_ms / 1000 + elapsed)
+            self._confirming.note_relayed_age(offer.confirmed_ms / 1000 + elapsed)
 
 
 def _milliseconds(seconds: float) -> int:
@@ -298,7 +300,7 @@
 
 
 def _order(revision: int) -> Write | None:
-    return None if revision == NO_WRITE else Write(revision, ORDER)
+    return None if revision == NO_WRITE else Write(revision, DRAIN_ORDER_VALUE)
 
 
 def _drained(offer: PublishedOffer) -> Relayed:
@@ -314,7 +316,7 @@
     return Relayed(
         None,
         revision,
-        tuple(Change(key, at, ORDER) for key, at in orders.items()),
+        tuple(Change(key, at, DRAIN_ORDER_VALUE) for key, at in orders.items()),
         {h.key: h.seconds for h in held if h.stored is None},
         offer.drained_era,
         era_seconds=_optional_seconds(offer.era_ms),
--- a/boragestream/entry/quarantine.py
+++ b/boragestream/entry/quarantine.py
@@ -71,7 +71,7 @@
     def offer(self, budget: int) -> bytes:
         """Return the encoded digest and as many new records as fit."""
         room = max(0, budget - OFFER_OVERHEAD_BYTES) // MAX_RECORD_BYTES
-        news = _pack(self._quarantine.news(min(MAX_OFFERED_RECORDS, room)))
+        news = _pack(self._quarantine.next_offers(min(MAX_OFFERED_RECORDS, room)))
         data = _encoder.encode(CrashesOffer(self._quarantine.digest, news))
         return data if len(data) <= budget else b""
 
@@ -87,7 +87,7 @@
 
     def answer(self, envelope: Envelope, message: QuarantineAsk) -> QuarantineReply:
         """Return the records that quarantine a request."""
-        return QuarantineReply(_pack(self._quarantine.lasting()))
+        return QuarantineReply(_pack(self._quarantine.replicated_records()))
 
     def _merge_reply(self, peer: str, reply: Message) -> None:
         if isinstance(reply, QuarantineReply):
@@ -101,7 +101,7 @@
                     Event.PEER_FRAME_REFUSED, peer=peer, reason="malformed crash record"
                 )
                 continue
-            if self._quarantine.take(record, age_ms / 1000):
+            if self._quarantine.merge(record, age_ms / 1000):
                 emit(
                     Event.CRASHES_HEARD,
                     fingerprint=fingerprint.hex(),
--- a/boragestream/entry/relay.py
+++ b/boragestream/entry/relay.py
@@ -24,7 +24,7 @@
 )
 from boragestream.entry.links import PeerLinks
 from boragestream.entry.messages import DocumentAsk, DocumentReply, Envelope
-from boragestream.entry.open_questions import OpenQuestions
+from boragestream.entry.open_questions import OpenRequests
 
 __all__ = ["ConfigurationRelay", "RelayedVersion", "TakeText"]
 
@@ -108,14 +108,14 @@
         self._links = links
         self._address = address
         self._submit = submit
-        self._open_requests = OpenQuestions()
+        self._open_requests = OpenRequests()
         self._invalid_offers: OrderedDict[VersionOffer, None] = OrderedDict()
         self._reported_conflicts: OrderedDict[VersionOffer, None] = OrderedDict()
         self._differences: OrderedDict[tuple[str, str], Difference] = OrderedDict()
         self._lock = threading.Lock()
 
     @property
-    def asking(self) -> bool:
+    def request_in_progress(self) -> bool:
         """Whether a request to a peer is in progress."""
         return bool(self._open_requests)
 
--- a/boragestream/entry/server_permits.py
+++ b/boragestream/entry/server_permits.py
@@ -21,10 +21,10 @@
 
 from boragestream.base.clock import Clock
 from boragestream.base.outcomes import Failure
-from boragestream.entry.limits import note_limit_change, pack_limit, unpack_limit
+from boragestream.entry.limits import log_limit_change, pack_limit, unpack_limit
 from boragestream.entry.links import PeerLinks
 from boragestream.entry.messages import Envelope, ProbeReply
-from boragestream.entry.owner_questions import OwnerQuestions
+from boragestream.entry.owner_questions import OwnerRequests
 from boragestream.entry.permit_messages import PermitAsk, PermitReply, PermitReturn
 from boragestream.policy.granters import Granters
 from boragestream.policy.limit_records import LimitRecord, server_key
@@ -109,14 +109,16 @@
         self._clock = clock
         self._on_acquired = ended
         self._settled = False
-        self._owner_requests = OwnerQuestions(links, clock)
+        self._owner_requests = OwnerRequests(links, clock)
         self._numbers = itertools.count(1)
         self._grants: dict[int, _Grant] = {}
         self._lock = threading.Lock()
 
     def grants(self, server: Server) -> bool:
         """Return whether this entry grants the permits of a server."""
-        return self._is_settled() and self._granters.of(server)[:1] == [self._own]
+        return self._is_settled() and self._granters.for_server(server)[:1] == [
+            self._own
+        ]
 
     def acquire(self, server: Server, wait_seconds: float) -> Permit | PermitRefused:
         """Return a permit, or a refusal with the time until one is available.
@@ -127,7 +129,7 @@
         refused = isinstance(result, PermitRefused)
         self._on_acquired(server.service, not refused)
         if refused:
-            self._limits.note_busy(server, result.left_seconds)
+            self._limits.note_unavailable(server, result.left_seconds)
         return result
 
     def is_valid(self, server: Server, permit: Permit | None) -> bool:
@@ -141,7 +143,7 @@
             return False
         return self._clock.now() < permit.expires
 
-    def give_back(self, permit: Permit) -> None:
+    def release(self, permit: Permit) -> None:
         """Return an unused permit to the entry that granted it."""
         if permit.granted_by == self._own:
             self._release(permit.number)
@@ -156,10 +158,10 @@
     def answer(self, envelope: Envelope, message: PermitAsk) -> PermitReply:
         """Grant a permit to another entry, or refuse it."""
         record, age = unpack_limit(message.limit)
-        note_limit_change(self._limits.take(record, age), envelope.sender, age)
+        log_limit_change(self._limits.take(record, age), envelope.sender, age)
         name, host, service = message.server, message.host, message.service
         server = Server(name, service, host, "", message.incarnation)
-        if not self._is_settled() or self._own not in self._granters.of(server):
+        if not self._is_settled() or self._own not in self._granters.for_server(server):
             return PermitReply(0, int(UNSETTLED_RETRY_SECONDS * 1000))
         number, delay = self._grant(server, message.wait_ms / 1000)
         # Rounded up, so that no permit is valid too early.
@@ -175,14 +177,14 @@
         return self._settled
 
     def _acquire(self, server: Server, wait_seconds: float) -> Permit | PermitRefused:
-        record = self._limits.known(server)
+        record = self._limits.record(server)
         if record is None or not self._is_settled():
             return PermitRefused(UNSETTLED_RETRY_SECONDS)
-        for entry in self._granters.of(server):
+        for entry in self._granters.for_server(server):
             requested_at = self._clock.now()
             if entry == self._own:
                 number, delay = self._grant(server, wait_seconds)
-            elif self._owner_requests.is_passed_over(entry):
+            elif self._owner_requests.is_skipped(entry):
                 continue
             else:
                 reply = self._request_permit(entry, server, record, wait_seconds)
@@ -210,7 +212,7 @@
             pack_limit(record, self._limits.age(record)),
             int(wait_seconds * 1000),
         )
-        return self._owner_requests.ask(entry, address, message, PermitReply)
+        return self._owner_requests.request(entry, address, message, PermitReply)
 
     def _grant(self, server: Server, wait_seconds: float) -> tuple[int, float]:
         """Return a permit's number, 0 if refused, and the seconds until it is valid."""
@@ -229,7 +231,7 @@
         with self._lock:
             granted = self._grants.pop(number, None)
         if granted is not None:
-            self._limits.give_back(granted.server, granted.moment)
+            self._limits.release(granted.server, granted.moment)
 
     def _drop_old_grants(self) -> None:
         oldest = self._clock.now() - GRANT_KEEP_SECONDS
--- a/boragestream/policy/account_limits.py
+++ b/boragestream/policy/account_limits.py
@@ -132,7 +132,7 @@
 
     def _note_active(self, now: float) -> None:
         if now - self._active_at > PAUSE_SECONDS:
-            self._table.expect_again()
+            self._table.reset()
             for state in self._accounts.values():
                 state.refreshed_at = float("-inf")
         self._active_at = now
@@ -157,10 +157,10 @@
         split the limit by the same figures.
         """
         state.refreshed_at = now
-        fresh = [report for _, report in self._table.fresh().values()]
+        fresh = [report for _, report in self._table.unexpired_reports().values()]
         key = account_key(state.account.name)
         others = {r.entry: r.accounts.get(key, AccountDemand()) for r in fresh}
-        awaited = len(self._table.awaited() - set(others))
+        awaited = len(self._table.awaiting_first_report() - set(others))
         rate = self._next_rate(state, others, awaited)
         slots = self._next_slots(state, others, awaited)
         state.bucket.set_rate(rate, now)
--- a/boragestream/policy/admission.py
+++ b/boragestream/policy/admission.py
@@ -143,7 +143,7 @@
             self._count_end(admitted.candidate)
             self._admit_queued(now)
 
-    def look_again(self) -> None:
+    def recheck_queue(self) -> None:
         """Admit waiting requests after the known slots of the servers have changed."""
         with self._lock:
             self._admit_queued(self._clock.now())
--- a/boragestream/policy/configuration.py
+++ b/boragestream/policy/configuration.py
@@ -67,7 +67,7 @@
         """The document in force; None before the first one."""
         return self._current
 
-    def when_taken(self, listener: Callable[[], None]) -> None:
+    def add_listener(self, listener: Callable[[], None]) -> None:
         """Register a function that is called after each document takes effect."""
         self._listeners.append(listener)
 
--- a/boragestream/policy/confirming.py
+++ b/boragestream/policy/confirming.py
@@ -27,7 +27,7 @@
 from boragestream.base.clock import Clock
 from boragestream.policy.watching import MAX_AGE_SECONDS, retry_delay_seconds
 
-__all__ = ["Confirming"]
+__all__ = ["ConfirmationSchedule"]
 
 # The first entry reads after this share of the bound. A change that its watch has lost
 # is then known there at once and on all entries a second later.
@@ -48,7 +48,7 @@
 MAX_PAUSE_SECONDS = 0.25
 
 
-class Confirming:
+class ConfirmationSchedule:
     """Schedules this entry's confirming reads; thread-safe.
 
     :param prefixes: the key prefixes to confirm.
@@ -83,7 +83,7 @@
         return prefix in self._failed_prefixes
 
     @property
-    def put_off(self) -> bool:
+    def is_delayed(self) -> bool:
         """Whether reads are delayed because the last ones failed."""
         return self._clock.now() < self._retry_at
 
@@ -115,7 +115,7 @@
         with self._lock:
             self._delay_next_read()
 
-    def take_notice(self, age_seconds: float) -> None:
+    def note_relayed_age(self, age_seconds: float) -> None:
         """Record the age of a peer's message whose content is known here.
 
         :param age_seconds: the time since the peer's values were confirmed.
@@ -140,7 +140,7 @@
         """
         return self._confirmed_at(prefix) > moment
 
-    def asks(self, prefix: str) -> bool:
+    def should_read(self, prefix: str) -> bool:
         """Return whether a non-waiting read is due."""
         now = self._clock.now()
         with self._lock:
--- a/boragestream/policy/costs.py
+++ b/boragestream/policy/costs.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-__all__ = ["CostTable", "Purpose", "Spent", "StageCost"]
+__all__ = ["CostTable", "Purpose", "TimeUse", "StageCost"]
 
 
 class Purpose(Enum):
@@ -20,7 +20,7 @@
     HEDGE = "hedge"
 
 
-class Spent(Enum):
+class TimeUse(Enum):
     """How the seconds of an attempt were used; the values name the counters."""
 
     USED = "used_seconds"
@@ -61,7 +61,7 @@
         self._lock = threading.Lock()
 
     def add(
-        self, account: str, stage: str, purpose: Purpose, spent: Spent, seconds: float
+        self, account: str, stage: str, purpose: Purpose, spent: TimeUse, seconds: float
     ) -> None:
         """Add one attempt that has ended."""
         with self._lock:
--- a/boragestream/policy/demand.py
+++ b/boragestream/policy/demand.py
@@ -69,7 +69,7 @@
         self._listed: frozenset[str] = frozenset()
         self._lock = threading.Lock()
 
-    def expect(self, listed: Iterable[str]) -> None:
+    def set_listed(self, listed: Iterable[str]) -> None:
         """Set the names of the listed entries; new ones are expected to report."""
         now = self._clock.now()
         with self._lock:
@@ -78,14 +78,14 @@
                 self._expected[name] = now
             self._listed = names
 
-    def expect_again(self) -> None:
+    def reset(self) -> None:
         """Drop all reports, as after a pause, and expect one of each listed entry."""
         now = self._clock.now()
         with self._lock:
             self._reports.clear()
             self._expected = dict.fromkeys(self._listed, now)
 
-    def take(self, report: EntryReport, age: float) -> bool:
+    def add(self, report: EntryReport, age: float) -> bool:
         """Add a report; return whether it is valid and newer than the stored one.
 
         :param age: a lower bound of the seconds since the report was made.
@@ -101,7 +101,7 @@
             self._expected.pop(report.entry, None)
             return True
 
-    def fresh(self) -> dict[str, tuple[float, EntryReport]]:
+    def unexpired_reports(self) -> dict[str, tuple[float, EntryReport]]:
         """Return the reports whose lease has not expired, with ages in seconds."""
         now = self._clock.now()
         with self._lock:
@@ -111,7 +111,7 @@
                 if now - made_at < LEASE_SECONDS
             }
 
-    def awaited(self) -> set[str]:
+    def awaiting_first_report(self) -> set[str]:
         """Return the entries whose first report is expected."""
         now = self._clock.now()
         with self._lock:
--- a/boragestream/policy/engine_delays.py
+++ b/boragestream/policy/engine_delays.py
@@ -50,7 +50,7 @@
                 current.deviation + SMOOTHING * (abs(difference) - current.deviation),
             )
 
-    def expected(self, route: str) -> float:
+    def reserve_seconds(self, route: str) -> float:
         """Return the seconds to reserve for a call of a route."""
         delay = self._delays.get(route)
         if delay is None:
--- a/boragestream/policy/first_knowledge.py
+++ b/boragestream/policy/first_knowledge.py
@@ -13,7 +13,7 @@
 
 from boragestream.base.clock import Clock
 
-__all__ = ["FirstKnowledge"]
+__all__ = ["StartupReadiness"]
 
 # The platform answers within about 5 ms, and a request waits for the slowest answer. A
 # longer wait would take a considerable share of the shortest latency objective, 0.3 s.
@@ -24,7 +24,7 @@
 MAX_RETRY_SECONDS = 5.0
 
 
-class FirstKnowledge:
+class StartupReadiness:
     """Tracks whether the first answers of the platform are pending; thread-safe.
 
     :param clock: measures the time since the start.
@@ -51,11 +51,11 @@
         """Record that the platform gave no answer, and stop holding requests."""
         self._settled.set()
 
-    def hold(self) -> None:
+    def wait_for_first_answers(self) -> None:
         """Wait for the first answers, for at most ``HOLD_SECONDS``."""
         self._settled.wait(HOLD_SECONDS)
 
-    def return_seconds(self) -> float:
+    def retry_delay_seconds(self) -> float:
         """Return the retry delay in seconds of a request that can't be served yet."""
         elapsed = self._clock.now() - self._started_at
         return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, elapsed))
--- a/boragestream/policy/gossip.py
+++ b/boragestream/policy/gossip.py
@@ -57,7 +57,7 @@
         """Return a record; None if the table lacks it."""
         return self._records.get(key)
 
-    def take(self, record: Record, spread: bool = True) -> bool:
+    def merge(self, record: Record, spread: bool = True) -> bool:
         """Merge a record; return whether it changed the table.
 
         :param spread: whether to send it on to other entries.
@@ -73,7 +73,7 @@
                 self._sends_left[key] = math.ceil(sends)
             return True
 
-    def drop(self, keys: Iterable[str]) -> None:
+    def remove(self, keys: Iterable[str]) -> None:
         """Remove records."""
         with self._lock:
             for key in keys:
@@ -82,7 +82,7 @@
                 if known is not None:
                     self._digests[_bucket(key)] ^= _digest(known)
 
-    def news(self, count: int) -> list[Record]:
+    def pending_records(self, count: int) -> list[Record]:
         """Return the new records with the most sends left, and count this send.
 
         :param count: the maximum number of records.
@@ -95,12 +95,12 @@
                     del self._sends_left[key]
             return [self._records[key] for key in keys[:count]]
 
-    def in_buckets(self, buckets: Collection[int]) -> list[Record]:
+    def records_in_buckets(self, buckets: Collection[int]) -> list[Record]:
         """Return all records of some buckets."""
         with self._lock:
             return [r for k, r in self._records.items() if _bucket(k) in buckets]
 
-    def differing(self, digests: Collection[int]) -> list[int]:
+    def differing_buckets(self, digests: Collection[int]) -> list[int]:
         """Return the buckets whose digests differ from another table's."""
         pairs = zip(self._digests, digests, strict=False)
         return [i for i, (mine, theirs) in enumerate(pairs) if mine != theirs]
--- a/boragestream/policy/granters.py
+++ b/boragestream/policy/granters.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 from boragestream.base.clock import Clock
-from boragestream.policy.queue_owners import owner_order
+from boragestream.policy.queue_owners import owner_ranking
 from boragestream.policy.servers import Server
 
 __all__ = ["Granters", "Standing"]
@@ -65,28 +65,28 @@
     @property
     def count(self) -> int:
         """The number of live entries."""
-        self.look_again()
+        self.refresh()
         return len(self._entries)
 
-    def look_again(self) -> None:
+    def refresh(self) -> None:
         """Update the live entries; called periodically, even without look-ups."""
         with self._lock:
             self._refresh()
 
-    def of(self, server: Server) -> Sequence[str]:
+    def for_server(self, server: Server) -> Sequence[str]:
         """Return the entries that grant permits for a server, the first one first."""
         subject = self._subject(server)
         with self._lock:
             self._refresh()
             ranked = self._ranked.get(subject)
             if ranked is None:
-                ranked = owner_order(subject, self._entries)[:GRANTERS_PER_SERVER]
+                ranked = owner_ranking(subject, self._entries)[:GRANTERS_PER_SERVER]
                 self._ranked[subject] = ranked
             return ranked
 
     def standing(self, server: Server, entry: str) -> Standing:
         """Return the standing of an entry among the granting entries of a server."""
-        ranked = self.of(server)
+        ranked = self.for_server(server)
         if ranked[:1] != [entry]:
             return Standing.NEW
         subject = self._subject(server)
@@ -108,6 +108,6 @@
             self._changed_at = now
             self._ranked.clear()
             for subject, (before, _) in self._first.items():
-                first = owner_order(subject, live)[0]
+                first = owner_ranking(subject, live)[0]
                 if first != before:
                     self._first[subject] = (first, now)
--- a/boragestream/policy/load.py
+++ b/boragestream/policy/load.py
@@ -22,7 +22,7 @@
     probing,
 )
 from boragestream.policy.concurrency import INITIAL_LIMIT, is_queueing, next_limit
-from boragestream.policy.reports import LoadReport, calls_of_others
+from boragestream.policy.reports import LoadReport, expected_calls_of_others
 from boragestream.policy.servers import Server
 
 __all__ = ["CallEnd", "LoadTable", "ServerLoad"]
@@ -108,7 +108,7 @@
         if self.report is None or not with_reports:
             return self.in_progress
         age = now - self.report_at
-        others = calls_of_others(self.report, self.own_at_report, age)
+        others = expected_calls_of_others(self.report, self.own_at_report, age)
         return self.in_progress + others
 
 
@@ -129,7 +129,7 @@
         self._numbers = itertools.count()
         self._first_report: Callable[[str], None] = lambda service: None
 
-    def when_first_reported(self, reported: Callable[[str], None]) -> None:
+    def on_first_report(self, reported: Callable[[str], None]) -> None:
         """Set the callback for the service of each server that first reports a load."""
         self._first_report = reported
 
--- a/boragestream/policy/operator_table.py
+++ b/boragestream/policy/operator_table.py
@@ -26,13 +26,13 @@
     Relayed,
     Snapshot,
 )
-from boragestream.policy.published_table import PublishedTable, Standing
+from boragestream.policy.published_table import AnswerStatus, PublishedTable
 
-__all__ = ["ORDER", "OperatorTable"]
+__all__ = ["DRAIN_ORDER_VALUE", "OperatorTable"]
 
 # The value kept for each drain key. The presence of the key is the order, whatever its
 # value.
-ORDER = b""
+DRAIN_ORDER_VALUE = b""
 
 
 class OperatorTable:
@@ -82,7 +82,7 @@
         return self._configuration.revision
 
     @property
-    def unsettled(self) -> bool:
+    def awaits_first_answer(self) -> bool:
         """Always False, since operators' values don't lapse in an outage."""
         return False
 
@@ -99,32 +99,41 @@
     def drained_centres(self) -> Relayed | None:
         """Return the drained data centres to relay; None before the first answer."""
         with self._lock:
-            return self._drained.since(None)
+            return self._drained.changes_since(None)
 
-    def standing(
+    def answer_status(
         self, answer: Snapshot | Changes, asked: Position | None = None
-    ) -> Standing:
+    ) -> AnswerStatus:
         """Return whether this table can apply an answer of the platform.
 
         :param asked: the position from which changes were requested; None for the
             position that is known now.
         """
         tables = (self._configuration, self._drained)
-        statuses = {table.standing(answer, asked) for table in tables}
-        if Standing.UNCONNECTED in statuses:
-            return Standing.UNCONNECTED
-        return Standing.USABLE if Standing.USABLE in statuses else Standing.OUTDATED
+        statuses = {table.answer_status(answer, asked) for table in tables}
+        if AnswerStatus.UNCONNECTED in statuses:
+            return AnswerStatus.UNCONNECTED
+        return (
+            AnswerStatus.USABLE
+            if AnswerStatus.USABLE in statuses
+            else AnswerStatus.OUTDATED
+        )
 
     def note_failure(self) -> None:
         """Do nothing, since operators' values don't lapse in an outage."""
 
-    def take(self, answer: Snapshot | Changes) -> bool:
+    def apply_answer(self, answer: Snapshot | Changes) -> bool:
         """Apply an answer of the platform; return whether it changed a value."""
         with self._lock:
-            changed = self._configuration.take(self._select(answer, drained=False))
-            return self._drained.take(self._select(answer, drained=True)) or changed
+            changed = self._configuration.apply_answer(
+                self._select(answer, drained=False)
+            )
+            return (
+                self._drained.apply_answer(self._select(answer, drained=True))
+                or changed
+            )
 
-    def take_relayed(self, relayed: Relayed) -> bool:
+    def apply_relayed(self, relayed: Relayed) -> bool:
         """Apply the complete set of drained data centres relayed by another entry.
 
         :returns: whether the set changed or was unknown before.
@@ -132,26 +141,26 @@
         with self._lock:
             first = self._drained.revision is None
             before = self._drained.values.keys()
-            self._drained.take_relayed(relayed)
+            self._drained.apply_relayed(relayed)
             return first or self._drained.values.keys() != before
 
-    def take_revision(self, revision: int, era: int = NO_ERA) -> None:
+    def advance_configuration_revision(self, revision: int, era: int = NO_ERA) -> None:
         """Record that the configuration has not changed up to a revision."""
         self._configuration.advance_position(Position(era, revision))
 
-    def drop_lapsed(self) -> bool:
+    def drop_expired(self) -> bool:
         """Use the stored values again where retention has ended.
 
         :returns: whether retention had ended for any key.
         """
         with self._lock:
-            ended = self._configuration.drop_lapsed()
-            return self._drained.drop_lapsed() or ended
+            ended = self._configuration.drop_expired()
+            return self._drained.drop_expired() or ended
 
     def _select(self, answer: Snapshot | Changes, drained: bool) -> Snapshot | Changes:
         if isinstance(answer, Snapshot):
             selected_values = {
-                key: ORDER if drained else value
+                key: DRAIN_ORDER_VALUE if drained else value
                 for key, value in answer.values.items()
                 if self._is_drain_key(key) is drained
             }
@@ -168,7 +177,8 @@
         if not drained:
             return tuple(selected)
         return tuple(
-            c if c.value is None else replace(c, value=ORDER) for c in selected
+            c if c.value is None else replace(c, value=DRAIN_ORDER_VALUE)
+            for c in selected
         )
 
     def _is_drain_key(self, key: str) -> bool:
--- a/boragestream/policy/overdue_calls.py
+++ b/boragestream/policy/overdue_calls.py
@@ -10,7 +10,7 @@
 
 from boragestream.document.calls import StageReport
 
-__all__ = ["ASK_AGAIN_SECONDS", "answer_is_lost", "ask_after_seconds"]
+__all__ = ["QUERY_INTERVAL_SECONDS", "answer_is_lost", "query_delay_seconds"]
 
 # A server is queried when its call has taken 1.5 times its usual duration plus an
 # allowance for the age of reports: they are a few hundred milliseconds old, and one
@@ -19,10 +19,10 @@
 REPORT_AGE_SECONDS = 0.4
 # The interval between queries to a server that is still working. Each query is counted,
 # and queries to a server that is merely slow gain nothing.
-ASK_AGAIN_SECONDS = 0.5
+QUERY_INTERVAL_SECONDS = 0.5
 
 
-def ask_after_seconds(usual_seconds: float) -> float:
+def query_delay_seconds(usual_seconds: float) -> float:
     """Return how long after a call's start its server is queried about it.
 
     :param usual_seconds: the duration of the call on a server that is not slow.
--- a/boragestream/policy/peers.py
+++ b/boragestream/policy/peers.py
@@ -28,7 +28,8 @@
 FAILURES_BEFORE_CONFIRMING = 2
 # Entries lost at the same moment all become suspects within this time.
 RECENT_LOSS_SECONDS = 5.0
-# Exceeds the highest count that any caller of ``EntryTable.lost_lately`` compares with.
+# Exceeds the highest count that any caller of
+# ``EntryTable.recent_loss_count`` compares with.
 MAX_RECENT_LOSSES = 16
 
 
@@ -73,7 +74,7 @@
         self._members = GossipTable[Member](
             lambda member: member.name, prevailing_record
         )
-        self._members.take(self._own)
+        self._members.merge(self._own)
         self._listed: dict[str, ListedEntry] = {}
         self._listed_at: dict[str, float] = {}
         # The incarnation known when the list first marked the entry as leaving. The
@@ -100,7 +101,7 @@
         """All entries of the latest list and of the lists of ``FORGET_SECONDS``."""
         return tuple(self._listed.values())
 
-    def take_list(self, listed: Iterable[ListedEntry]) -> None:
+    def apply_list(self, listed: Iterable[ListedEntry]) -> None:
         """Apply a published list.
 
         An entry listed twice is leaving if either item says so.
@@ -118,14 +119,14 @@
                 self._record_leaving_mark(entry)
             self._remove_unlisted(now)
 
-    def take(self, member: Member) -> None:
+    def merge(self, member: Member) -> None:
         """Merge a record received from another entry."""
         with self._lock:
             if member.name == self._name:
                 self._update_own_record(member)
                 return
             known = self._members.get(member.name)
-            if member.name not in self._listed or not self._members.take(member):
+            if member.name not in self._listed or not self._members.merge(member):
                 return
             # A new live entry can wait for the next exchange. The loss or recovery of
             # an entry is sent at once.
@@ -141,7 +142,7 @@
         """
         self._failed_exchanges.pop(name, None)
 
-    def note_missed(self, name: str) -> bool:
+    def note_unanswered(self, name: str) -> bool:
         """Record that an entry did not answer.
 
         :returns: whether other entries should try to reach it too.
@@ -151,17 +152,17 @@
             live = self.state(name) is MemberState.LIVE
             return live and self._failed_exchanges[name] >= FAILURES_BEFORE_CONFIRMING
 
-    def note_unreached(self, name: str) -> None:
+    def note_unreachable(self, name: str) -> None:
         """Record that neither this entry nor another one could reach an entry."""
         with self._lock:
             # An entry that never sent a record is suspected under a placeholder
             # incarnation that every real one outranks.
             known = self._members.get(name) or Member(name, "", generation=0)
-            if name in self._listed and self._members.take(as_suspect(known)):
+            if name in self._listed and self._members.merge(as_suspect(known)):
                 self._suspected_at.append(self._clock.now())
                 self._changed()
 
-    def lost_lately(self) -> int:
+    def recent_loss_count(self) -> int:
         """Return the number of entries suspected within ``RECENT_LOSS_SECONDS``.
 
         The count is at most ``MAX_RECENT_LOSSES``.
@@ -170,15 +171,15 @@
         with self._lock:
             return sum(at > since for at in self._suspected_at)
 
-    def missed(self, name: str) -> bool:
+    def last_exchange_failed(self, name: str) -> bool:
         """Return whether the last exchange with an entry failed."""
         return name in self._failed_exchanges
 
-    def say(self, state: MemberState) -> None:
+    def announce_state(self, state: MemberState) -> None:
         """Announce that this entry is leaving or gone."""
         with self._lock:
             self._own = replace(self._own, state=state)
-            self._members.take(self._own)
+            self._members.merge(self._own)
         self._changed()
 
     def state(self, name: str) -> MemberState:
@@ -204,11 +205,11 @@
 
     def _update_own_record(self, received: Member) -> None:
         updated = updated_own_record(self._own, received, self._outranked_incarnations)
-        self._members.take(received, spread=False)
+        self._members.merge(received, spread=False)
         if updated != self._own:
             self._outranked_incarnations.add(received.incarnation)
             self._own = updated
-            self._members.take(updated)
+            self._members.merge(updated)
             self._changed()
 
     def _record_leaving_mark(self, entry: ListedEntry) -> None:
@@ -227,4 +228,4 @@
             self._listed_at.pop(name)
             self._leaving_incarnations.pop(name, None)
             self._failed_exchanges.pop(name, None)
-        self._members.drop(name for name in expired if name != self._name)
+        self._members.remove(name for name in expired if name != self._name)
--- a/boragestream/policy/published_table.py
+++ b/boragestream/policy/published_table.py
@@ -26,14 +26,14 @@
     Write,
 )
 
-__all__ = ["PublishedTable", "Standing"]
+__all__ = ["PublishedTable", "AnswerStatus"]
 
 # Keys that lapsed during an outage are missing from the first answers after it. A later
 # removal is a new one, and its server gets no further work.
 LAPSE_DETECTION_SECONDS = 0.5
 
 
-class Standing(Enum):
+class AnswerStatus(Enum):
     """Whether a table can apply an answer of the store."""
 
     USABLE = "it can be taken"
@@ -109,13 +109,13 @@
             return self._held.digest
 
     @property
-    def unsettled(self) -> bool:
+    def awaits_first_answer(self) -> bool:
         """Whether an outage has ended without an answer for this prefix since."""
         return self._first_answer_at is None and not self._in_outage
 
-    def standing(
+    def answer_status(
         self, answer: Snapshot | Changes, asked: Position | None = None
-    ) -> Standing:
+    ) -> AnswerStatus:
         """Return whether this table can apply an answer of the store.
 
         :param asked: the position from which changes were requested; None for the
@@ -123,18 +123,18 @@
         """
         known = self._position
         if known is None:
-            return Standing.USABLE
+            return AnswerStatus.USABLE
         era = self._era_of(answer)
         if era < known.era:
-            return Standing.OUTDATED
+            return AnswerStatus.OUTDATED
         if isinstance(answer, Snapshot):
             outdated = Position(era, answer.revision) < known
-            return Standing.OUTDATED if outdated else Standing.USABLE
+            return AnswerStatus.OUTDATED if outdated else AnswerStatus.USABLE
         if era > known.era:
-            return Standing.UNCONNECTED
+            return AnswerStatus.UNCONNECTED
         # A request made in the previous era can reach the store after its restore.
         connected = asked is None or asked.era == era
-        return Standing.USABLE if connected else Standing.OUTDATED
+        return AnswerStatus.USABLE if connected else AnswerStatus.OUTDATED
 
     def note_answer(self) -> None:
         """Record that the store answered a request for this or another prefix."""
@@ -148,13 +148,13 @@
         """Record that the store gave no answer; keys may lapse during the outage."""
         self._in_outage = True
 
-    def take(self, answer: Snapshot | Changes) -> bool:
+    def apply_answer(self, answer: Snapshot | Changes) -> bool:
         """Apply an answer of the store; return whether it changed the values.
 
         An answer that is not usable changes nothing.
         """
         with self._lock:
-            if self.standing(answer) is not Standing.USABLE:
+            if self.answer_status(answer) is not AnswerStatus.USABLE:
                 return False
             known = self._position
             position = Position(self._era_of(answer), answer.revision)
@@ -170,7 +170,7 @@
             self._stored.update(writes)
             return changed
 
-    def take_relayed(self, relayed: Relayed) -> bool:
+    def apply_relayed(self, relayed: Relayed) -> bool:
         """Apply values relayed by another entry; return whether the values changed."""
         with self._lock:
             known = self._position
@@ -191,7 +191,9 @@
             if self._position is not None:
                 self._position = max(self._position, position)
 
-    def since(self, revision: int | None, era: int | None = None) -> Relayed | None:
+    def changes_since(
+        self, revision: int | None, era: int | None = None
+    ) -> Relayed | None:
         """Return the changes since a revision, or None if no values are known here.
 
         :param revision: None for all values.
@@ -222,7 +224,7 @@
                 held=self._held.held,
             )
 
-    def drop_lapsed(self) -> bool:
+    def drop_expired(self) -> bool:
         """Use the stored values again where retention has ended.
 
         :returns: whether retention had ended for any key.
--- a/boragestream/policy/queue_owners.py
+++ b/boragestream/policy/queue_owners.py
@@ -11,14 +11,14 @@
 
 from boragestream.policy.peers import ListedEntry
 
-__all__ = ["able_entries", "owner_order"]
+__all__ = ["eligible_entries", "owner_ranking"]
 
 # The minimum capacity of an owner, relative to the largest entry. Entries on equal
 # instances are all eligible. A queue on a small instance delays all entries' stages.
 MIN_CAPACITY_SHARE = 0.5
 
 
-def able_entries(entries: Sequence[ListedEntry]) -> list[str]:
+def eligible_entries(entries: Sequence[ListedEntry]) -> list[str]:
     """Return the names of the entries that are eligible to own queues.
 
     These are the entries with at least half of the largest capacity. A queue on an
@@ -29,7 +29,7 @@
     return [e.name for e in entries if e.capacity >= MIN_CAPACITY_SHARE * largest]
 
 
-def owner_order(service: str, entries: Sequence[str]) -> list[str]:
+def owner_ranking(service: str, entries: Sequence[str]) -> list[str]:
     """Return the entries in ranked order for a service; the first owns its queue."""
 
     def rank(entry: str) -> int:
--- a/boragestream/policy/reports.py
+++ b/boragestream/policy/reports.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass
 
-__all__ = ["LoadReport", "calls_of_others"]
+__all__ = ["LoadReport", "expected_calls_of_others"]
 
 DECAY_SECONDS = 1.0
 
@@ -25,7 +25,7 @@
     slots: int
 
 
-def calls_of_others(report: LoadReport, own: int, age: float) -> float:
+def expected_calls_of_others(report: LoadReport, own: int, age: float) -> float:
     """Return the expected number of calls of other entries on a server.
 
     :param own: the number of this entry's calls at the time of the report.
--- a/boragestream/policy/retries.py
+++ b/boragestream/policy/retries.py
@@ -10,7 +10,13 @@
 from dataclasses import dataclass
 from enum import Enum
 
-__all__ = ["MAX_ATTEMPTS", "FailedAttempt", "Retry", "pause_seconds", "retry_verdict"]
+__all__ = [
+    "MAX_ATTEMPTS",
+    "FailedAttempt",
+    "Retry",
+    "retry_delay_seconds",
+    "retry_verdict",
+]
 
 MAX_ATTEMPTS = 3
 BACKOFF_SECONDS = 0.02
@@ -69,6 +75,6 @@
     return Retry.AGAIN
 
 
-def pause_seconds(attempts: int, rng: random.Random) -> float:
+def retry_delay_seconds(attempts: int, rng: random.Random) -> float:
     """Return how long to wait before the next attempt on the same server."""
     return BACKOFF_SECONDS * attempts * rng.uniform(0.5, 1.5)
--- a/boragestream/policy/route_table.py
+++ b/boragestream/policy/route_table.py
@@ -122,7 +122,7 @@
         """The version in force; None before the first one."""
         return self._current
 
-    def when_taken(self, listener: Callable[[RouteTable], None]) -> None:
+    def add_listener(self, listener: Callable[[RouteTable], None]) -> None:
         """Register a function that is called after each version takes effect."""
         self._listeners.append(listener)
 
--- a/boragestream/policy/routing.py
+++ b/boragestream/policy/routing.py
@@ -21,7 +21,7 @@
 __all__ = [
     "ExpectedFinish",
     "LeastConnections",
-    "Place",
+    "Location",
     "RoundRobin",
     "RoutingPolicy",
     "routing_policies",
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Location:
     """The location of an entry or a server; the region is empty if not known."""
 
     data_centre: str
@@ -107,7 +107,7 @@
     loads: LoadTable
     clock: Clock
     rng: random.Random
-    home: Callable[[], Place]
+    home: Callable[[], Location]
     affinity: AffinityTable = field(default_factory=AffinityTable)
 
     def choose(self, servers: Sequence[Server], need: RoutingNeed) -> Server | None:
@@ -212,7 +212,7 @@
     return max(estimate, MIN_SECONDS)
 
 
-def _distance_seconds(home: Place, server: Server) -> float:
+def _distance_seconds(home: Location, server: Server) -> float:
     if home.region and server.region and home.region != server.region:
         return OTHER_REGION_SECONDS
     return 0.0 if server.data_centre == home.data_centre else OTHER_CENTRE_SECONDS
@@ -225,7 +225,7 @@
 
 
 def routing_policies(
-    loads: LoadTable, clock: Clock, rng: random.Random, home: Callable[[], Place]
+    loads: LoadTable, clock: Clock, rng: random.Random, home: Callable[[], Location]
 ) -> dict[str, RoutingPolicy]:
     """Return all policies by their names in the document."""
     return {
--- a/boragestream/policy/server_choice.py
+++ b/boragestream/policy/server_choice.py
@@ -23,10 +23,10 @@
 __all__ = [
     "OpenCalls",
     "ServerChoice",
-    "near_results",
+    "results_data_centre",
     "shared_part",
     "shared_tokens",
-    "stage_place",
+    "stage_data_centre",
 ]
 
 # A preferred engine is used up to AFFINITY_BOUND times the average number of this
@@ -45,7 +45,7 @@
 BYTES_PER_TOKEN = 1_200
 # First attempts avoid servers that failed recently. Limits that depend on queueing are
 # disabled, since the lengths of streams differ by far more than any queueing time.
-WITHOUT = ("concurrency-limit", "easing", "load-reports")
+DISABLED_MECHANISMS = ("concurrency-limit", "easing", "load-reports")
 
 
 class OpenCalls:
@@ -118,7 +118,7 @@
         return min(usable, key=self._work)
 
     def _usable(self, servers: Sequence[Server], avoid: frozenset[str]) -> list[Server]:
-        need = RoutingNeed(avoid=avoid, without=WITHOUT)
+        need = RoutingNeed(avoid=avoid, without=DISABLED_MECHANISMS)
         return usable_servers(servers, self.loads, need, self.clock.now())
 
     def _work(self, server: Server) -> tuple[float, int]:
@@ -144,7 +144,7 @@
     return sum(part.tokens for part in prompt[:-1])
 
 
-def near_results(results: Sequence[StageResult], shared_tokens: int = 0) -> str:
+def results_data_centre(results: Sequence[StageResult], shared_tokens: int = 0) -> str:
     """Return the data centre in which a call that reads results should run.
 
     :param shared_tokens: the number of its prompt's tokens that other requests share.
@@ -163,7 +163,7 @@
     )
 
 
-def stage_place(
+def stage_data_centre(
     read: Sequence[StageResult], count: int, result_bytes: float, home: str
 ) -> str:
     """Return the data centre in which a stage's pieces should run; empty for any.
@@ -178,7 +178,7 @@
     :param home: the data centre of the engine that will most likely read the results.
     """
     if read:
-        return near_results([*read] * count)
+        return results_data_centre([*read] * count)
     return home if count * result_bytes >= LARGE_RESULT_BYTES else ""
 
 
--- a/boragestream/policy/server_limits.py
+++ b/boragestream/policy/server_limits.py
@@ -148,7 +148,7 @@
             return servers, ()
         return unlimited, [server for server in servers if server.identity in limits]
 
-    def is_unasked(self, server: Server) -> bool:
+    def is_idle(self, server: Server) -> bool:
         """Return whether this entry granted no permit in ``IDLE_SECONDS``."""
         granted_at = self._granted_at.get(server_key(server), -math.inf)
         return self._clock.now() - granted_at >= IDLE_SECONDS
@@ -163,7 +163,7 @@
                 free_at = max(free_at, schedule.next_free(now))
         return max(0.0, free_at - now)
 
-    def note_busy(self, server: Server, seconds: float) -> None:
+    def note_unavailable(self, server: Server, seconds: float) -> None:
         """Record that no permit for a server is free for some seconds."""
         self._free_at[server_key(server)] = self._clock.now() + seconds
 
@@ -203,7 +203,7 @@
         key = record.server
         with self._lock:
             known = self._table.get(key.hex())
-            if not self._table.take(record):
+            if not self._table.merge(record):
                 return None
             self._confirmed_at[key] = self._clock.now() - age_seconds
             limit = record.per_second
@@ -224,7 +224,7 @@
         now = self._clock.now()
         return max(0.0, now - self._confirmed_at.get(record.server, now))
 
-    def known(self, server: Server) -> LimitRecord | None:
+    def record(self, server: Server) -> LimitRecord | None:
         """Return the record of a server; None if it never stated a limit."""
         return self._table.get(server_key(server).hex())
 
@@ -253,7 +253,7 @@
             begins_at = schedule.next_free(now) if moment is None else moment
             return moment, begins_at - now
 
-    def give_back(self, key: bytes, moment: float) -> None:
+    def release(self, key: bytes, moment: float) -> None:
         """Return an unused permit to the schedule."""
         with self._lock:
             schedule = self._schedules.get(key)
@@ -282,7 +282,7 @@
         self._by_identity = {s.identity: limit for s, limit in known if s is not None}
 
     def _forget(self, key: bytes) -> None:
-        self._table.drop([key.hex()])
+        self._table.remove([key.hex()])
         for by_key in (
             self._limits,
             self._confirmed_at,
--- a/boragestream/policy/server_lives.py
+++ b/boragestream/policy/server_lives.py
@@ -18,14 +18,14 @@
 from boragestream.base.clock import Clock
 from boragestream.policy.servers import Server
 
-__all__ = ["ServerLives"]
+__all__ = ["ServerIncarnations"]
 
 # Late writes arrive up to six seconds after they were sent, and a running server
 # publishes its state again about a second later.
 EARLIER_INCARNATION_SECONDS = 8.0
 
 
-class ServerLives:
+class ServerIncarnations:
     """The latest incarnation of each listed server.
 
     :param clock: measures how long an earlier incarnation has been published.
@@ -38,7 +38,7 @@
         self._lock = threading.Lock()
 
     @property
-    def settling(self) -> bool:
+    def ignores_earlier(self) -> bool:
         """Whether an earlier incarnation is published now and still ignored."""
         return bool(self._earlier_since)
 
--- a/boragestream/policy/servers.py
+++ b/boragestream/policy/servers.py
@@ -98,7 +98,7 @@
         """Return whether a server that was chosen earlier may still take new work."""
         return server.identity in self._usable
 
-    def awaits_centre(self, service: str) -> bool:
+    def has_drained_servers(self, service: str) -> bool:
         """Return whether a service has listed servers in a drained data centre."""
         drained = self._drained
         return any(
@@ -106,7 +106,7 @@
             for server in self._listed
         )
 
-    def when_unused(self, unused: Callable[[str], None]) -> None:
+    def on_unused(self, unused: Callable[[str], None]) -> None:
         """Set the callback for the host of each server that is no longer used."""
         self._on_unused = unused
 
@@ -122,7 +122,7 @@
             unused = self._rebuild()
         self._report_unused(unused)
 
-    def take_drained(self, data_centres: frozenset[str]) -> None:
+    def set_drained(self, data_centres: frozenset[str]) -> None:
         """Set the drained data centres: the whole set, not a difference."""
         with self._lock:
             self._drained = data_centres
@@ -132,12 +132,12 @@
 
     def note_leaving(self, server: Server) -> bool:
         """Record a server's own statement that it is leaving; False if known before."""
-        if not self.take_notice(server.identity):
+        if not self.note_leaving_identity(server.identity):
             return False
         self._on_leaving(server)
         return True
 
-    def take_notice(self, identity: tuple[str, str, str]) -> bool:
+    def note_leaving_identity(self, identity: tuple[str, str, str]) -> bool:
         """Record another entry's notice that a server is leaving.
 
         :returns: whether it was not known yet.
--- a/boragestream/policy/slot_shares.py
+++ b/boragestream/policy/slot_shares.py
@@ -67,7 +67,7 @@
             self._cache[service] = cached
         return cached.slots
 
-    def note_reported(self, service: str) -> bool:
+    def note_first_report(self, service: str) -> bool:
         """Invalidate a share that was cached before any server had reported.
 
         Call it when a server has reported for the first time.
--- a/boragestream/policy/stage_delays.py
+++ b/boragestream/policy/stage_delays.py
@@ -33,7 +33,7 @@
         self._delays: dict[str, _Delay] = {}
         self._lock = threading.Lock()
 
-    def note(self, service: str, seconds: float, usual: float) -> None:
+    def record(self, service: str, seconds: float, usual: float) -> None:
         """Record the duration of a stage, from its order to its results.
 
         The duration is smoothed, since a single slow stage after an idle time may be
--- a/boragestream/policy/stage_times.py
+++ b/boragestream/policy/stage_times.py
@@ -172,7 +172,7 @@
             items = self._baselines.items()
             return {k: b.seconds for k, b in items if b.seconds is not None}
 
-    def take_baseline(
+    def adopt_baseline(
         self, pipeline: str, stage: str, seconds: float, streamed: bool = False
     ) -> None:
         """Use another entry's baseline if it is lower and the own one is new.
--- a/boragestream/policy/ticket_book.py
+++ b/boragestream/policy/ticket_book.py
@@ -200,7 +200,7 @@
             record.state = InProgress(request_id)
             return Grant(ticket.sequence, record.expiry)
 
-    def burn(
+    def void_unused(
         self, ticket: Ticket, account: str, request_id: str, reason: Failure
     ) -> TicketState | Failure:
         """Return a ticket's state; a ticket that is still unused becomes unusable.
--- a/boragestream/policy/waiting.py
+++ b/boragestream/policy/waiting.py
@@ -19,7 +19,7 @@
 
 Chosen = TypeVar("Chosen")
 
-__all__ = ["CallQueue", "ServiceSaturated", "WaitingLines"]
+__all__ = ["CallQueue", "ServiceSaturated", "CallQueues"]
 
 # Load reports expire and limits rise without a signal to the waiting calls, so that
 # these poll; the first of the queue polls more often.
@@ -75,7 +75,7 @@
         """The number of calls that wait."""
         return len(self._waiters)
 
-    def take(
+    def acquire(
         self,
         choose: Callable[[], Chosen | None],
         latest: float,
@@ -105,7 +105,7 @@
                 self._waiters.remove(waiter)
                 self._wake_first()
 
-    def note_end(self) -> None:
+    def record_end(self) -> None:
         """Record that a call of the service has ended; wake the first waiting one."""
         with self._lock:
             self._ends.append(self._clock.now())
@@ -165,7 +165,7 @@
             self._waiters[0].woken.set()
 
 
-class WaitingLines:
+class CallQueues:
     """The queues by service."""
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
--- a/boragestream/policy/watching.py
+++ b/boragestream/policy/watching.py
@@ -28,7 +28,7 @@
 
 __all__ = [
     "MAX_AGE_SECONDS",
-    "StoreFollowing",
+    "StoreCallSchedule",
     "direct_read_seconds",
     "is_first_watcher",
     "is_watcher",
@@ -144,7 +144,7 @@
         self.suspect = False
 
 
-class StoreFollowing:
+class StoreCallSchedule:
     """Schedules this entry's own calls to the platform's store; thread-safe.
 
     Every change published up to ``age`` seconds ago is in force here. The age is 0
@@ -190,7 +190,7 @@
         self._probe_scheduled = False
         self._lock = threading.RLock()
 
-    def asks(self, prefix: str) -> bool:
+    def should_call(self, prefix: str) -> bool:
         """Return whether to call the store now; if so, record a pending call."""
         now = self._clock.now()
         with self._lock:
@@ -265,7 +265,7 @@
             for state in self._prefixes.values():
                 state.suspect = state.call_pending
 
-    def note_lost(self, prefix: str) -> None:
+    def note_call_lost(self, prefix: str) -> None:
         """Record that a call was lost while the store answered other requests."""
         with self._lock:
             self._prefixes[prefix].end(answered=False)
@@ -301,12 +301,12 @@
                 spread = 0.5 + self._rng.random()
                 state.retry_at = self._clock.now() + pause * spread
 
-    def waits(self, prefix: str) -> bool:
+    def has_pending_watch(self, prefix: str) -> bool:
         """Return whether this entry relies on a pending watch."""
         state = self._prefixes[prefix]
         return state.call_pending and state.follows_answer
 
-    def take_notice(self, age_seconds: float, trouble_seconds: float) -> None:
+    def note_relayed_age(self, age_seconds: float, trouble_seconds: float) -> None:
         """Record the age of a peer's message whose content is known here.
 
         :param age_seconds: the highest possible age of the peer's values.
@@ -336,7 +336,7 @@
             )
             return min(MAX_AGE_SECONDS, now - max(known, self._relayed_at))
 
-    def trouble_seconds(self) -> float:
+    def seconds_since_failure(self) -> float:
         """Return the time since the store last failed to answer any entry, or inf."""
         return self._clock.now() - self._last_failure_at
 
--- a/boragestream/serving/attempts.py
+++ b/boragestream/serving/attempts.py
@@ -31,11 +31,11 @@
 from boragestream.base.identifiers import new_attempt_id
 from boragestream.base.outcomes import Failure
 from boragestream.document import Stage
-from boragestream.entry.limits import note_limit_change
-from boragestream.policy.costs import Purpose, Spent
+from boragestream.entry.limits import log_limit_change
+from boragestream.policy.costs import Purpose, TimeUse
 from boragestream.policy.load import CallEnd
 from boragestream.policy.servers import Server
-from boragestream.serving.ejections import note_backoff
+from boragestream.serving.ejections import log_backoff
 from boragestream.serving.limited_servers import PermittedServer
 from boragestream.serving.parts import ServingParts
 from boragestream.serving.request import RequestRecord
@@ -133,7 +133,7 @@
             self._note_failure(answer)
             self._close(_call_end(answer))
             if answer.ran is Ran.NOT_SENT and self._permit is not None:
-                self._parts.limited.permits.give_back(self._permit)
+                self._parts.limited.permits.release(self._permit)
             if isinstance(answer, AnswerCut):
                 run.guard.check_for_crash(self._server)
             return answer
@@ -166,7 +166,7 @@
 
     def _note_limit(self, limit: float | None, sent_at: float, whole: bool) -> None:
         limits = self._parts.limited.limits
-        note_limit_change(limits.note_answer(self._server, limit, sent_at, whole))
+        log_limit_change(limits.note_answer(self._server, limit, sent_at, whole))
 
     def cancel(self) -> None:
         """Cancel the attempt because another one was answered first."""
@@ -213,17 +213,17 @@
             account, run.name, self._purpose, self._cost_category(end), seconds
         )
         run.request.scope.close_child(self._scope)
-        parts.lines.of(run.stage.service).note_end()
+        parts.call_queues.of(run.stage.service).record_end()
 
-    def _cost_category(self, end: CallEnd) -> Spent:
+    def _cost_category(self, end: CallEnd) -> TimeUse:
         if self._lost_race:
-            return Spent.HEDGED
+            return TimeUse.HEDGED
         if end is CallEnd.ANSWERED:
-            return Spent.USED
+            return TimeUse.USED
         if end is not CallEnd.CANCELLED:
-            return Spent.FAILED
+            return TimeUse.FAILED
         late = isinstance(self._scope.reason, DeadlinePassed | None)
-        return Spent.LATE if late else Spent.CANCELLED
+        return TimeUse.LATE if late else TimeUse.CANCELLED
 
     def _note_failure(self, failure: AttemptFailure) -> None:
         request = self._run.request
@@ -235,7 +235,7 @@
             self._parts.servers.note_leaving(self._server)
         if isinstance(failure, ServerRefused) and failure.backoff_seconds is not None:
             self._parts.backoffs.note(self._server, failure.backoff_seconds)
-            note_backoff(self._server, failure.backoff_seconds)
+            log_backoff(self._server, failure.backoff_seconds)
         mismatched = isinstance(failure, AnswerCrossed)
         event = Event.ANSWER_DISCARDED if mismatched else Event.ATTEMPT_FAILED
         emit(
--- a/boragestream/serving/ejections.py
+++ b/boragestream/serving/ejections.py
@@ -8,10 +8,10 @@
 from boragestream.policy.load import LoadTable
 from boragestream.policy.servers import Server
 
-__all__ = ["note_backoff", "note_ejection"]
+__all__ = ["log_backoff", "log_ejection"]
 
 
-def note_backoff(server: Server, seconds: float) -> None:
+def log_backoff(server: Server, seconds: float) -> None:
     """Log that a server asked this entry to send no calls for some seconds."""
     emit(
         Event.SERVER_BACKED_OFF,
@@ -21,7 +21,7 @@
     )
 
 
-def note_ejection(loads: LoadTable, server: Server, now: float) -> None:
+def log_ejection(loads: LoadTable, server: Server, now: float) -> None:
     """Log the ejection of a server if its circuit is open after a failure."""
     circuit = loads.get(server).circuit
     if is_open(circuit, now):
--- a/boragestream/serving/forward_attempt.py
+++ b/boragestream/serving/forward_attempt.py
@@ -35,7 +35,7 @@
 from boragestream.policy.server_backoffs import ServerBackoffs
 from boragestream.policy.server_choice import ServerChoice
 from boragestream.policy.servers import Server, ServerTable
-from boragestream.serving.ejections import note_ejection
+from boragestream.serving.ejections import log_ejection
 from boragestream.serving.forwarded_run import ForwardedRun
 from boragestream.serving.limited_servers import LimitedServers, PermittedServer
 from boragestream.serving.request_guard import RequestGuard
@@ -169,7 +169,7 @@
         if isinstance(answer, AttemptFailure):
             self.end(_call_end(answer))
             if answer.ran is Ran.NOT_SENT and self._permit is not None:
-                self._parts.limited.permits.give_back(self._permit)
+                self._parts.limited.permits.release(self._permit)
             return answer
         self._answer = answer
         return answer
@@ -214,7 +214,7 @@
             if end is CallEnd.ANSWERED:
                 self._first_seconds = seconds
             elif end is not CallEnd.CANCELLED:
-                note_ejection(parts.loads, self._server, parts.clock.now())
+                log_ejection(parts.loads, self._server, parts.clock.now())
         service, first_seconds = self._run.service, self._first_seconds
         parts.metrics.attempt_ended(service, end.name.lower(), first_seconds)
 
--- a/boragestream/serving/forwarded_choice.py
+++ b/boragestream/serving/forwarded_choice.py
@@ -18,7 +18,11 @@
 from boragestream.document.calls import StageResult
 from boragestream.document.routes import CallKind
 from boragestream.policy.piece_queue import longest_wait
-from boragestream.policy.server_choice import near_results, shared_part, shared_tokens
+from boragestream.policy.server_choice import (
+    results_data_centre,
+    shared_part,
+    shared_tokens,
+)
 from boragestream.policy.servers import Server
 from boragestream.serving.forward_attempt import ForwardParts
 from boragestream.serving.forwarded_run import ForwardedRun
@@ -48,7 +52,9 @@
             return self._no_server_failure()
         limited = self._parts.limited
         unlimited, with_limit = limited.limits.split(servers)
-        if unlimited or limited.soonest(with_limit) <= self._longest_wait(has_results):
+        if unlimited or limited.seconds_until_permit(with_limit) <= self._longest_wait(
+            has_results
+        ):
             return None
         return limited.refusal(with_limit)
 
@@ -103,14 +109,14 @@
             return self._choose_unlimited(unlimited, inputs)
         untried = self._untried(unlimited)
         if untried:
-            idle = limited.unasked(self._untried(with_limit))
+            idle = limited.idle_server(self._untried(with_limit))
             ready = limited.ready(self._untried(with_limit))
             server = idle or self._choose_best([*untried, *ready], inputs)
-            chosen = limited.at_once(server) if server in with_limit else None
+            chosen = limited.acquire_now(server) if server in with_limit else None
             return chosen or self._choose_unlimited(unlimited, inputs)
         wait = self._longest_wait(bool(inputs))
         candidates = self._untried(with_limit) or with_limit
-        chosen = limited.first(
+        chosen = limited.acquire_earliest(
             candidates, wait, lambda nearby: self._choose_best(nearby, inputs)
         )
         if isinstance(chosen, ServersLimited) and unlimited:
@@ -140,7 +146,7 @@
         if service is None or service.engine is None:
             return choice.plain(servers, avoid)
         prompt = run.request.prompt
-        near = near_results(inputs, shared_tokens(prompt))
+        near = results_data_centre(inputs, shared_tokens(prompt))
         return choice.engine(servers, shared_part(prompt), near, avoid)
 
     def _longest_wait(self, has_results: bool) -> float:
@@ -155,7 +161,7 @@
             return until_deadline
         left = run.objective_at - now
         if run.route.kind is CallKind.STREAM:
-            left -= parts.engine_delays.expected(run.route.name)
+            left -= parts.engine_delays.reserve_seconds(run.route.name)
         return min(until_deadline, longest_wait(run.priority, left))
 
     def _servers(self) -> Sequence[Server]:
@@ -180,7 +186,7 @@
             return ServersBackedOff(service, left)
         if allowed:
             return ServersCold(service)
-        if self._parts.servers.awaits_centre(service):
+        if self._parts.servers.has_drained_servers(service):
             return CentresDrained(service)
         return NoLiveServer(service)
 
--- a/boragestream/serving/limited_servers.py
+++ b/boragestream/serving/limited_servers.py
@@ -82,24 +82,24 @@
         """Return the servers for which a permit may be available at once."""
         return [s for s in limited if self._limits.seconds_left(s) <= 0]
 
-    def unasked(self, limited: Sequence[Server]) -> Server | None:
+    def idle_server(self, limited: Sequence[Server]) -> Server | None:
         """Return a server whose permits this entry grants and nobody requests.
 
         :returns: None if there is no such server.
         """
         for server in limited:
-            if self._limits.is_unasked(server) and self._permits.grants(server):
+            if self._limits.is_idle(server) and self._permits.grants(server):
                 return server
         return None
 
-    def at_once(self, server: Server) -> PermittedServer | None:
+    def acquire_now(self, server: Server) -> PermittedServer | None:
         """Return the server with a permit that starts now; None if none is granted."""
         permit = self._permits.acquire(server, 0.0)
         if isinstance(permit, PermitRefused):
             return None
         return PermittedServer(server, permit)
 
-    def first(
+    def acquire_earliest(
         self,
         limited: Sequence[Server],
         wait_seconds: float,
@@ -135,7 +135,7 @@
                 return PermittedServer(server, permit)
         return self.refusal(limited)
 
-    def soonest(self, limited: Sequence[Server]) -> float:
+    def seconds_until_permit(self, limited: Sequence[Server]) -> float:
         """Return the expected seconds until the earliest permit."""
         return min(self._limits.seconds_left(server) for server in limited)
 
@@ -152,7 +152,7 @@
             )
             seconds = schedule.retry_after(
                 self._clock.now(),
-                self.soonest(limited),
+                self.seconds_until_permit(limited),
                 rate / max(1, self._entries()),
             )
         return ServersLimited(service, seconds)
@@ -166,7 +166,7 @@
             return True
         while (remaining := permit.begins - self._clock.now()) > 0:
             if cancelled():
-                self._permits.give_back(permit)
+                self._permits.release(permit)
                 return False
             threading.Event().wait(min(remaining, CANCEL_POLL_SECONDS))
         return True
--- a/boragestream/serving/owner_links.py
+++ b/boragestream/serving/owner_links.py
@@ -14,9 +14,9 @@
 from boragestream.base.outcomes import Failure
 from boragestream.entry.links import PeerLinks
 from boragestream.entry.messages import Message
-from boragestream.entry.owner_questions import OwnerQuestions
+from boragestream.entry.owner_questions import OwnerRequests
 from boragestream.entry.piece_messages import PiecesAnswer
-from boragestream.policy.queue_owners import owner_order
+from boragestream.policy.queue_owners import owner_ranking
 
 __all__ = ["OwnerLinks", "milliseconds"]
 
@@ -41,7 +41,7 @@
         self._own = own
         self._live = live
         self._links = links
-        self._questions = OwnerQuestions(links, clock)
+        self._questions = OwnerRequests(links, clock)
         self._messages = ThreadPoolExecutor(MESSAGE_THREADS, "piece messages")
 
     @property
@@ -56,11 +56,11 @@
             while it is live, even if another entry ranks before it by now, so that
             no piece is made twice.
         """
-        ranked = owner_order(service, self._live())
+        ranked = owner_ranking(service, self._live())
         if current in ranked:
             ranked.remove(current)
             ranked.insert(0, current)
-        responsive = [e for e in ranked if not self._questions.is_passed_over(e)]
+        responsive = [e for e in ranked if not self._questions.is_skipped(e)]
         # This entry itself is the last resort, whatever its rank.
         candidates = responsive
         if self._own in responsive:
@@ -69,7 +69,7 @@
 
     def ask(self, owner: str, message: Message) -> PiecesAnswer | None:
         """Ask an owner; return None and skip it for some time if it does not answer."""
-        return self._questions.ask(owner, owner, message, PiecesAnswer)
+        return self._questions.request(owner, owner, message, PiecesAnswer)
 
     def send(self, entry: str, message: Message) -> None:
         """Send a message in the background; its reply is not needed."""
--- a/boragestream/serving/parts.py
+++ b/boragestream/serving/parts.py
@@ -12,11 +12,11 @@
 from boragestream.policy.costs import CostTable
 from boragestream.policy.load import LoadTable
 from boragestream.policy.quarantine import Quarantine
-from boragestream.policy.routing import Place, RoutingPolicy, routing_policies
+from boragestream.policy.routing import Location, RoutingPolicy, routing_policies
 from boragestream.policy.server_backoffs import ServerBackoffs
 from boragestream.policy.servers import ServerTable
 from boragestream.policy.times import RecentTimes
-from boragestream.policy.waiting import WaitingLines
+from boragestream.policy.waiting import CallQueues
 from boragestream.serving.limited_servers import LimitedServers
 
 __all__ = ["ServingParts", "make_parts"]
@@ -41,9 +41,9 @@
     quarantine: Quarantine
     loads: LoadTable
     routing: dict[str, RoutingPolicy]
-    lines: WaitingLines
+    call_queues: CallQueues
     connections: ConnectionKeeper
-    attempts: ThreadPoolExecutor
+    attempt_executor: ThreadPoolExecutor
     times: RecentTimes
     retries: BudgetTable
     hedges: BudgetTable
@@ -61,7 +61,7 @@
     attempts: ThreadPoolExecutor,
     clock: Clock,
     rng: random.Random,
-    home: Callable[[], Place],
+    home: Callable[[], Location],
     observations: Observations,
 ) -> ServingParts:
     """Return the parts of an entry.
@@ -78,9 +78,9 @@
         quarantine=quarantine,
         loads=loads,
         routing=routing_policies(loads, clock, rng, home),
-        lines=WaitingLines(clock, rng),
+        call_queues=CallQueues(clock, rng),
         connections=ConnectionKeeper(),
-        attempts=attempts,
+        attempt_executor=attempts,
         times=RecentTimes(clock),
         retries=BudgetTable(),
         hedges=BudgetTable(),
--- a/boragestream/serving/piece_batches.py
+++ b/boragestream/serving/piece_batches.py
@@ -1,8 +1,11 @@
 """Sends the queued pieces of stage services in batches, as the owner of their queues.
 
-A batch is sent when a server is free, never on a timer. Pieces whose call failed return
-to the queue as long as the bound on repeats allows it. ``policy.piece_queue`` decides
-which pieces form a batch, ``serving.piece_orders`` which entry owns a queue, and
+A stage service runs steps (stages) of requests. An order is the work of one stage for
+one request and consists of pieces. A batch is sent when a server is free, never on a
+timer. Pieces whose call failed return to the queue as long as the bound on repeats
+allows it.
+``policy.piece_queue`` decides which pieces form a batch, ``serving.piece_orders`` which
+entry (instance that takes requests of callers) owns a queue, and
 ``serving.piece_calls`` makes the calls.
 """
 
@@ -27,17 +30,18 @@
 from boragestream.policy.load import CallEnd
 from boragestream.policy.piece_queue import PieceBooking, PieceOrder, QueuedOrder
 from boragestream.policy.quarantine import CrashRecord
-from boragestream.policy.server_choice import WITHOUT
+from boragestream.policy.server_choice import DISABLED_MECHANISMS
 from boragestream.policy.servers import Server
 from boragestream.policy.service_queue import Batch, CallRoom, ServiceQueue
-from boragestream.serving.ejections import note_ejection
+from boragestream.serving.ejections import log_ejection
 from boragestream.serving.piece_calls import BatchParts, PieceCalls, unreadable_results
 from boragestream.serving.request_guard import count_crash, has_crashed
 
 __all__ = ["PieceBatches", "ResultsCallback"]
 
-# A server with a limit is sent a batch if its permit begins within this time. Queues
-# are checked at this interval, so no permit is missed between two checks.
+# A server with a limit may be called only with a permit, which is valid from a certain
+# time. It is sent a batch if that time is at most this far away. Queues are checked at
+# this interval, so no permit is missed between two checks.
 PERMIT_WAIT_SECONDS = 0.25
 # The failures of calls that were abandoned before anything was sent.
 NOT_CALLED = ServerBackedOff | ServerCold | ServerLeft | ServerLimited
@@ -54,7 +58,7 @@
 
     def __init__(self, parts: BatchParts, on_results: ResultsCallback) -> None:
         self._parts = parts
-        self._done = on_results
+        self._on_results = on_results
         self._queues: dict[str, ServiceQueue] = {}
         self._lock = threading.Lock()
         self._calls = PieceCalls(parts)
@@ -70,10 +74,11 @@
 
         :param start_seconds: the time until its latest start.
         :param left_seconds: the time until its request stops waiting for it.
-        :returns: the expected wait in seconds if it is refused, None if it is accepted.
+        :returns: the expected wait in seconds if it is refused, 0.0 if the limits of
+            the service are unknown; None if it is accepted.
         """
-        self._parts.used()
-        limits = self._parts.limits(order.service)
+        self._parts.note_use()
+        limits = self._parts.piece_limits(order.service)
         if limits is None:
             return 0.0
         left = self._backed_off_seconds(order.service)
@@ -83,7 +88,9 @@
         queued = QueuedOrder(
             order, now + start_seconds, now + left_seconds, list(order.pieces)
         )
-        queued.suspected = self._parts.quarantine.known(order.fingerprint).crashes > 0
+        queued.suspected = (
+            self._parts.quarantine.record_for(order.fingerprint).crashes > 0
+        )
         usable = self._usable_servers(order.service)
         with self._lock:
             queue = self._queue(order.service)
@@ -102,10 +109,11 @@
 
         :param start_seconds: the time until its latest start.
         :param left_seconds: the time until its request stops waiting for it.
-        :returns: the expected wait in seconds if it is refused, None if it is accepted.
+        :returns: the expected wait in seconds if it is refused, 0.0 if the limits of
+            the service are unknown; None if it is accepted.
         """
-        self._parts.used()
-        limits = self._parts.limits(booking.service)
+        self._parts.note_use()
+        limits = self._parts.piece_limits(booking.service)
         if limits is None:
             return 0.0
         left = self._backed_off_seconds(booking.service)
@@ -138,8 +146,8 @@
         with self._lock:
             for handle in handles:
                 service, server = self._result_servers.get(handle, ("", None))
-                # If the server may not be sent messages, its results take up room until
-                # they expire.
+                # A server that is drained, limited or backed off is sent no releases;
+                # its results take up room until they expire.
                 if server is None or not self._calls.takes_messages(server):
                     continue
                 del self._result_servers[handle]
@@ -150,8 +158,14 @@
             self._calls.submit(self._calls.release, server, tuple(freed))
             self._send_batches(service)
 
-    def look_again(self) -> None:
-        """Drop expired, late and unserved orders; send batches to free servers."""
+    def update_queues(self) -> None:
+        """Check all queues, results and calls; call this periodically.
+
+        Drops orders and bookings that have expired, and forgets results that are no
+        longer stored. Fails orders that are late, that must start before a server may
+        be called again, or that have no live server. Sends batches to free servers and
+        checks for overdue calls.
+        """
         now = self._parts.clock.now()
         late: list[QueuedOrder] = []
         unserved: list[QueuedOrder] = []
@@ -161,11 +175,11 @@
             for service in services:
                 queue = self._queues[service]
                 queue.drop_expired(now)
-                queue.forget(listed, now)
+                queue.drop_stale_servers(listed, now)
                 late += queue.drop_late(now)
                 left = self._backed_off_seconds(service)
                 if left is not None:
-                    late += queue.drop_starting_before(now + left)
+                    late += queue.drop_due_before(now + left)
                 if not self._parts.servers.live(service):
                     unserved += queue.drop_unserved()
             for handle, (service, server) in list(self._result_servers.items()):
@@ -181,7 +195,7 @@
         failed = PieceResult("", fault)
         for queued in orders:
             order = queued.order
-            self._done(order.order_id, [(p.number, failed) for p in order.pieces])
+            self._on_results(order.order_id, [(p.number, failed) for p in order.pieces])
 
     def _queue(self, service: str) -> ServiceQueue:
         if service not in self._queues:
@@ -193,7 +207,7 @@
         parts = self._parts
         accepting = parts.backoffs.usable(parts.servers.live(service))
         live = parts.cold.usable(accepting)
-        need = RoutingNeed(without=WITHOUT)
+        need = RoutingNeed(without=DISABLED_MECHANISMS)
         return usable_servers(live, self._parts.loads, need, self._parts.clock.now())
 
     def _call_room(self, server: Server) -> CallRoom:
@@ -216,7 +230,7 @@
 
     def _send_batches(self, service: str) -> None:
         """Send a batch to each free server."""
-        limits = self._parts.limits(service)
+        limits = self._parts.piece_limits(service)
         if limits is None:
             return
         usable = self._sendable_servers(service)
@@ -246,7 +260,7 @@
             name = end.name.lower()
             parts.metrics.batch_ended(service, name, len(batch.pieces))
             if end not in (CallEnd.ANSWERED, CallEnd.CANCELLED):
-                note_ejection(parts.loads, batch.server, parts.clock.now())
+                log_ejection(parts.loads, batch.server, parts.clock.now())
             if isinstance(result, AnswerCut):
                 self._count_crashes(batch.server, crash_records)
             self._end_batch(service, batch, result)
@@ -263,14 +277,14 @@
         limited.wait(permit, lambda: False)
         result = self._calls.make(batch, permit)
         if isinstance(result, AttemptFailure) and result.ran is Ran.NOT_SENT:
-            limited.permits.give_back(permit)
+            limited.permits.release(permit)
         return result
 
     def _crash_records(self, batch: Batch) -> list[CrashRecord]:
         """Return the crash record of each request that a batch has pieces of."""
         fingerprints = {queued.order.fingerprint for queued, _ in batch.pieces}
         return [
-            self._parts.quarantine.known(fingerprint)
+            self._parts.quarantine.record_for(fingerprint)
             for fingerprint in fingerprints
             if fingerprint
         ]
@@ -301,7 +315,7 @@
     ) -> None:
         """Record a batch's results, requeue failed pieces and report the others.
 
-        Results of orders that were dropped since are released.
+        Results of orders that were dropped during the call are released.
         """
         results = result if isinstance(result, list) else None
         ran = True
@@ -324,16 +338,16 @@
                     if done is not None and done.handle:
                         unwanted.append(done.handle)
                 elif self._should_requeue(queued, done, ran):
-                    queue.put_back(order_id, piece)
+                    queue.requeue(order_id, piece)
                 else:
                     outcome = done or PieceResult("", PieceFault.ERROR)
                     placed = replace(outcome, data_centre=batch.server.data_centre)
                     reported.setdefault(order_id, []).append((piece.number, placed))
             for order_id, numbered in reported.items():
-                queue.note_reported(order_id, {number for number, _ in numbered})
+                queue.record_reported(order_id, {number for number, _ in numbered})
         self._note_answered(batch, results)
         for order_id, numbered in reported.items():
-            self._done(order_id, numbered)
+            self._on_results(order_id, numbered)
         if unwanted:
             self.release(unwanted)
 
@@ -346,7 +360,7 @@
         :param ran: whether the call may have run.
         """
         service = queued.order.service
-        record = self._parts.quarantine.known(queued.order.fingerprint)
+        record = self._parts.quarantine.record_for(queued.order.fingerprint)
         queued.suspected = record.crashes > 0
         if record.quarantined:
             return False
--- a/boragestream/serving/piece_calls.py
+++ b/boragestream/serving/piece_calls.py
@@ -38,9 +38,9 @@
 from boragestream.policy.cold_servers import ColdServers
 from boragestream.policy.load import LoadTable
 from boragestream.policy.overdue_calls import (
-    ASK_AGAIN_SECONDS,
+    QUERY_INTERVAL_SECONDS,
     answer_is_lost,
-    ask_after_seconds,
+    query_delay_seconds,
 )
 from boragestream.policy.quarantine import Quarantine
 from boragestream.policy.retry_window import RetryWindows
@@ -108,8 +108,8 @@
     watchdog: Watchdog
     clock: Clock
     metrics: RouteMetrics
-    limits: Callable[[str], PieceLimits | None]
-    used: Callable[[], None]
+    piece_limits: Callable[[str], PieceLimits | None]
+    note_use: Callable[[], None]
 
 
 @dataclass(slots=True)
@@ -150,7 +150,7 @@
         timeout = batch.seconds * CALL_TIME_FACTOR + CALL_TIME_SLACK_SECONDS
         scope = CancelScope(began + timeout)
         number = next(self._numbers)
-        check_at = began + ask_after_seconds(batch.seconds)
+        check_at = began + query_delay_seconds(batch.seconds)
         with self._lock:
             self._open[number] = _OpenCall(batch.server, scope, check_at)
         try:
@@ -165,7 +165,7 @@
         with self._lock:
             overdue = [call for call in self._open.values() if now >= call.check_at]
             for call in overdue:
-                call.check_at = now + ASK_AGAIN_SECONDS
+                call.check_at = now + QUERY_INTERVAL_SECONDS
         for call in overdue:
             self.submit(self._ask, call)
 
--- a/boragestream/serving/piece_orders.py
+++ b/boragestream/serving/piece_orders.py
@@ -84,7 +84,7 @@
         self._lock = threading.Lock()
         self._batches: PieceBatches | None = None
 
-    def join(self, batches: PieceBatches) -> None:
+    def set_batches(self, batches: PieceBatches) -> None:
         """Set the queues that this entry owns; called once, before the first order."""
         self._batches = batches
 
@@ -172,7 +172,9 @@
         if opened is not None and opened.finished:
             opened.changed.set()
 
-    def done(self, order_id: str, results: Sequence[tuple[int, PieceResult]]) -> None:
+    def report_results(
+        self, order_id: str, results: Sequence[tuple[int, PieceResult]]
+    ) -> None:
         """Pass results from a queue of this entry to the entry that sent the order."""
         requester = self._requesters.get(order_id, self._own)
         if requester == self._own:
@@ -231,7 +233,7 @@
         self._batches.release(message.handles)
         return ProbeReply(0)
 
-    def look_again(self) -> None:
+    def forget_ended_orders(self) -> None:
         """Forget which entry sent each order that is no longer in a queue."""
         with self._lock:
             ended = [
--- a/boragestream/serving/race.py
+++ b/boragestream/serving/race.py
@@ -27,11 +27,11 @@
     :param delay: seconds after which a second attempt is launched.
     :param launch_second: returns the second attempt, or None if it is not allowed.
     """
-    running = {parts.attempts.submit(first.send): first}
+    running = {parts.attempt_executor.submit(first.send): first}
     done, _ = wait(running, timeout=delay)
     second = None if done else launch_second()
     if second is not None:
-        running[parts.attempts.submit(second.send)] = second
+        running[parts.attempt_executor.submit(second.send)] = second
     while True:
         done, _ = wait(running, return_when=FIRST_COMPLETED)
         for future in done:
--- a/boragestream/serving/request.py
+++ b/boragestream/serving/request.py
@@ -83,7 +83,7 @@
     sent: SentRecord
     admitted: Admitted
     run_by: float = math.inf
-    ask: str = ""
+    status_path: str = ""
     fingerprint: bytes = b""
 
     @property
@@ -99,7 +99,7 @@
             the failure itself names one.
         """
         if self.sent.unrepeatable_may_have_run:
-            return Unknown(failure, self.ask)
+            return Unknown(failure, self.status_path)
         if isinstance(failure, RequestQuarantined):
             # The request has run, on the servers that it crashed.
             return Failed(failure, failure.left_seconds)
--- a/boragestream/serving/request_guard.py
+++ b/boragestream/serving/request_guard.py
@@ -85,7 +85,7 @@
         """Whether a server has crashed while it ran the request."""
         if self._quarantine.empty:
             return False
-        return self._quarantine.known(self._fingerprint).crashes > 0
+        return self._quarantine.record_for(self._fingerprint).crashes > 0
 
     def refusal(self) -> RequestQuarantined | RequestSuspected | None:
         """Return why the request may not be sent now; None if it may."""
@@ -94,7 +94,7 @@
             return None
         refused = self._quarantine.admit(self._fingerprint, self._was_cut)
         if refused is None:
-            self._record_at_send = self._quarantine.known(self._fingerprint)
+            self._record_at_send = self._quarantine.record_for(self._fingerprint)
         return refused
 
     def check_before_send(self) -> RequestQuarantined | RequestSuspected | None:
@@ -107,7 +107,7 @@
         if self._quarantine.empty:
             self._record_at_send = None
             return None
-        known = self._quarantine.known(self._fingerprint)
+        known = self._quarantine.record_for(self._fingerprint)
         admitted = self._record_at_send or CrashRecord(self._fingerprint)
         if admitted.rank < known.rank:
             return self.refusal()
--- a/boragestream/serving/stage.py
+++ b/boragestream/serving/stage.py
@@ -34,7 +34,7 @@
 from boragestream.policy.retries import (
     FailedAttempt,
     Retry,
-    pause_seconds,
+    retry_delay_seconds,
     retry_verdict,
 )
 from boragestream.policy.servers import Server
@@ -120,9 +120,13 @@
         limited = self.parts.limited
         without_limit, with_limit = limited.limits.split(self._available_servers(run))
         left = latest - self.parts.clock.now()
-        if with_limit and not without_limit and limited.soonest(with_limit) > left:
+        if (
+            with_limit
+            and not without_limit
+            and limited.seconds_until_permit(with_limit) > left
+        ):
             return limited.refusal(with_limit)
-        return self.parts.lines.of(service).take(
+        return self.parts.call_queues.of(service).acquire(
             choose=lambda: self._choose_attempt(run, purpose, tried),
             latest=latest,
             cancelled=lambda: scope.reason is not None,
@@ -133,11 +137,11 @@
     ) -> AttemptRun | None:
         limited = self.parts.limited
         without_limit, with_limit = limited.limits.split(self._available_servers(run))
-        server = limited.unasked(with_limit)
+        server = limited.idle_server(with_limit)
         server = server or self._choose_server(
             run, [*without_limit, *limited.ready(with_limit)], tried
         )
-        chosen = limited.at_once(server) if server in with_limit else None
+        chosen = limited.acquire_now(server) if server in with_limit else None
         if chosen is None:
             server = self._choose_server(run, without_limit, tried)
             chosen = PermittedServer(server) if server is not None else None
@@ -175,7 +179,7 @@
         service = run.stage.service
         if len(self.parts.servers.live(service)) == 1:
             return None
-        saturated = self.parts.lines.of(service).waiting > 0
+        saturated = self.parts.call_queues.of(service).waiting > 0
         if saturated or self.parts.hedges.of(service).tokens < 1.0:
             return None
         delay = hedge_delay(self.parts.times, run.kind)
@@ -184,7 +188,7 @@
 
     def _hedge(self, run: StageRun, tried: set[str]) -> AttemptRun | None:
         service = run.stage.service
-        if self.parts.lines.of(service).waiting:
+        if self.parts.call_queues.of(service).waiting:
             return None
         server = self._choose_hedge_server(run, tried)
         if server is None or not self.parts.hedges.of(service).spend():
@@ -235,7 +239,7 @@
         if any(server.name not in tried for server in live):
             return
         tried.clear()
-        threading.Event().wait(pause_seconds(attempts, self.parts.rng))
+        threading.Event().wait(retry_delay_seconds(attempts, self.parts.rng))
 
     def _usual_seconds(self, run: StageRun) -> float:
         return self.parts.times.quantile(run.kind, USUAL_QUANTILE) or 0.0
--- a/boragestream/serving/stage_pieces.py
+++ b/boragestream/serving/stage_pieces.py
@@ -20,7 +20,7 @@
 from boragestream.policy.fingerprints import stage_fingerprint
 from boragestream.policy.piece_queue import PieceBooking, PieceOrder
 from boragestream.policy.quarantine import Quarantine
-from boragestream.policy.server_choice import stage_place
+from boragestream.policy.server_choice import stage_data_centre
 from boragestream.policy.stage_delays import StageDelays
 from boragestream.serving.forwarded_run import ForwardedRun
 from boragestream.serving.piece_bookings import BookedOrder, PieceBookings
@@ -51,9 +51,9 @@
     bookings: PieceBookings
     quarantine: Quarantine
     clock: Clock
-    numbers: itertools.count
-    delays: StageDelays
-    engines: EngineDelays
+    order_numbers: itertools.count
+    stage_delays: StageDelays
+    engine_delays: EngineDelays
     metrics: RouteMetrics
 
     def run(
@@ -86,10 +86,10 @@
         self._open: dict[int, OpenOrder] = {}
         self._released: set[int] = set()
         self._stage_reports: list[dict[str, object]] = []
-        engine_seconds = stages.engines.expected(run.route.name)
-        self._lead_seconds = lead_seconds(run, stages.delays, engine_seconds)
+        engine_seconds = stages.engine_delays.reserve_seconds(run.route.name)
+        self._lead_seconds = lead_seconds(run, stages.stage_delays, engine_seconds)
         self._order_ids = {
-            number: f"{run.request.request_id}/{number}/{next(stages.numbers)}"
+            number: f"{run.request.request_id}/{number}/{next(stages.order_numbers)}"
             for number in range(len(run.route.stages))
         }
         # The bookings whose orders have not been sent, by stage.
@@ -197,7 +197,7 @@
             result_bytes=stage.result_bytes,
             priority=run.priority,
             invested=bool(inputs),
-            near=stage_place(needed, count, stage.result_bytes, self._home),
+            near=stage_data_centre(needed, count, stage.result_bytes, self._home),
             regions=run.regions or frozenset(),
             fingerprint=stage_fingerprint(run.fingerprint, stage.service),
         )
@@ -229,7 +229,7 @@
             self._results[number] = opened.results
             took = self._stages.clock.now() - opened.began_at
             usual = usual_seconds(self._run, opened.order.service)
-            self._stages.delays.note(opened.order.service, took, usual)
+            self._stages.stage_delays.record(opened.order.service, took, usual)
             self._stages.metrics.stage_ended(opened.order.service, took)
             self._stage_reports.append(
                 {
--- a/tests/features/steps/account_limits.py
+++ b/tests/features/steps/account_limits.py
@@ -27,7 +27,7 @@
     def __init__(self, name, names, clock):
         self.name = name
         self.table = DemandTable(name, clock)
-        self.table.expect(names)
+        self.table.set_listed(names)
         self.limits = AccountLimits(name, self.table, clock)
         self.part = DemandPart(name, "1", self.table, self.limits.demands, lambda: 0.0)
 
@@ -212,7 +212,7 @@
             a.limits.enter(group.account)
         group.clock.seconds += ROUND_SECONDS
         b.part.take("a", a.part.offer(BUDGET))
-        reported = b.table.fresh()["a"][1].accounts
+        reported = b.table.unexpired_reports()["a"][1].accounts
         own = a.limits.demands()
         for key, demand in own.items():
             assert abs(reported[key].held_rate - demand.held_rate) <= 0.01
@@ -227,4 +227,4 @@
     b = group.members["b"]
     for data in (b"\xc1", b"\x91\x01", random.Random(1).randbytes(200)):
         b.part.take("a", data)
-    assert not b.table.fresh()
+    assert not b.table.unexpired_reports()
--- a/tests/features/steps/address_sync.py
+++ b/tests/features/steps/address_sync.py
@@ -7,9 +7,9 @@
 from boragestream.entry.address_sync import AddressSync
 from boragestream.entry.addresses import AddressBook
 from boragestream.entry.messages import Envelope
-from boragestream.entry.parts import collect, hand_out
+from boragestream.entry.parts import collect_offers, distribute_offers
 from boragestream.policy.peers import ListedEntry
-from boragestream.policy.queue_owners import owner_order
+from boragestream.policy.queue_owners import owner_ranking
 from tests.standins.clock import SetClock
 
 SERVICES = ("first", "second", "third")
@@ -62,7 +62,7 @@
     def check_all(self):
         """Have each entry request a book if it has not converged."""
         for entry in self.rng.sample(list(self.entries.values()), len(self.names)):
-            entry.sync.look_again()
+            entry.sync.request_until_agreed()
 
     def round(self):
         """Have each entry exchange a message with some of the entries it knows."""
@@ -90,18 +90,18 @@
     def message(self):
         """Return the parts of one message."""
         self.turn += 1
-        return collect(self.parts, self.turn)
+        return collect_offers(self.parts, self.turn)
 
     def exchange(self, other):
         """Exchange messages with another entry."""
         own_parts, other_parts = self.message(), other.message()
-        hand_out(other.parts, self.name, own_parts)
-        hand_out(self.parts, other.name, other_parts)
+        distribute_offers(other.parts, self.name, own_parts)
+        distribute_offers(self.parts, other.name, other_parts)
 
     def owners(self):
         """Return which entry it considers the owner of each service's queue."""
         names = [entry.name for entry in self.book.entries if entry.host]
-        return [owner_order(service, names)[0] for service in SERVICES]
+        return [owner_ranking(service, names)[0] for service in SERVICES]
 
 
 @given("{count:d} entries that know three seeds each")
--- a/tests/features/steps/drained_centres.py
+++ b/tests/features/steps/drained_centres.py
@@ -90,7 +90,7 @@
     truth = {1: frozenset()}
     history = []
     for table in tables:
-        table.take(Snapshot(1, {"op/config": b"1"}))
+        table.apply_answer(Snapshot(1, {"op/config": b"1"}))
     old = tables[0].drained()
     for move in steps:
         newest = max(truth)
@@ -108,7 +108,7 @@
         elif move == "own":
             after = table.revision
             changes = tuple(c for c in history if c.revision > after)
-            table.take(Changes(newest, changes))
+            table.apply_answer(Changes(newest, changes))
         elif move == "word":
             relay(table, other.drained(), other.configuration_revision)
         else:
@@ -124,8 +124,8 @@
     """Update a table with the drained data centres that another entry relays."""
     revision, keys = drained
     changes = tuple(Change(key, revision, b"") for key in keys)
-    table.take_relayed(Relayed(None, revision, changes, {}))
-    table.take_revision(configuration_revision)
+    table.apply_relayed(Relayed(None, revision, changes, {}))
+    table.advance_configuration_revision(configuration_revision)
 
 
 @given('servers in "{one}" and "{other}"')
@@ -147,7 +147,7 @@
         lambda text: record_usable(context),
         context.servers,
         context.cold,
-        lambda: context.batches and context.batches.look_again(),
+        lambda: context.batches and context.batches.update_queues(),
         lambda: 0.25,
     )
 
@@ -178,10 +178,10 @@
     table = OperatorTable(context.clock.now, PREFIX)
     if source == "the platform":
         answer = Snapshot(7, {"op/config": b"{}", **dict.fromkeys(keys, b"{}")})
-        assert table.take(answer)
+        assert table.apply_answer(answer)
     else:
         changes = tuple(Change(key, 7, b"") for key in keys)
-        assert table.take_relayed(Relayed(None, 7, changes, {}))
+        assert table.apply_relayed(Relayed(None, 7, changes, {}))
     context.operators.take(table.values)
 
 
@@ -330,7 +330,7 @@
         """Create the recorder without any ages."""
         self.taken = []
 
-    def take_notice(self, age, trouble=None):
+    def note_relayed_age(self, age, trouble=None):
         """Record an age."""
         self.taken.append(age)
 
@@ -339,9 +339,9 @@
 def step(context, revision):
     clock = SetClock()
     servers = PublishedTable(clock.now)
-    servers.take(Snapshot(20, {}))
+    servers.apply_answer(Snapshot(20, {}))
     operators = OperatorTable(clock.now, PREFIX)
-    operators.take(Snapshot(revision, {"op/config": b"{}"}))
+    operators.apply_answer(Snapshot(revision, {"op/config": b"{}"}))
     context.operators = operators
     context.following, context.confirming = Ages(), Ages()
 
@@ -355,7 +355,7 @@
         operators,
         InForce,
         lambda relayed: None,
-        operators.take_relayed,
+        operators.apply_relayed,
         None,
         None,
         None,
--- a/tests/features/steps/first_knowledge.py
+++ b/tests/features/steps/first_knowledge.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from boragestream.policy.first_knowledge import HOLD_SECONDS, FirstKnowledge
+from boragestream.policy.first_knowledge import HOLD_SECONDS, StartupReadiness
 from tests.standins.clock import SetClock
 
 START_SECONDS = 15.0
@@ -14,7 +14,7 @@
 @given('an entry that awaits "{one}" and "{other}"')
 def step(context, one, other):
     context.clock = SetClock()
-    context.first = FirstKnowledge(context.clock, (one, other))
+    context.first = StartupReadiness(context.clock, (one, other))
     context.first._settled = RecordedEvent()
 
 
@@ -43,7 +43,7 @@
 
 @then("a request is {held}")
 def step(context, held):
-    context.first.hold()
+    context.first.wait_for_first_answers()
     expected = 0.0 if held == "not held" else HOLD_SECONDS
     assert context.first._settled.waits == [expected], context.first._settled.waits
 
@@ -55,7 +55,7 @@
 
 @then("a caller is told to come back after {after:g} s")
 def step(context, after):
-    assert context.first.return_seconds() == after
+    assert context.first.retry_delay_seconds() == after
 
 
 def call_until_connected(site):
--- a/tests/features/steps/following.py
+++ b/tests/features/steps/following.py
@@ -214,7 +214,7 @@
 @then('no entry holds "{key}"')
 def step(context, key):
     for entry in context.site.running():
-        entry.table.drop_lapsed()
+        entry.table.drop_expired()
         assert key not in entry.table.values
 
 
@@ -255,8 +255,8 @@
     truth = {1: {"a": b"0"}}
     history = []
     for table in tables:
-        table.take(Snapshot(1, {"a": b"0"}))
-    old = tables[0].since(None)
+        table.apply_answer(Snapshot(1, {"a": b"0"}))
+    old = tables[0].changes_since(None)
     for move in steps:
         revision = max(truth)
         table, other = rng.sample(tables, 2)
@@ -272,12 +272,12 @@
         elif move == "own":
             after = rng.choice([table.revision, 1])
             changes = tuple(c for c in history if c.revision > after)
-            table.take(Changes(revision, changes))
+            table.apply_answer(Changes(revision, changes))
         elif move == "relay":
-            table.take_relayed(other.since(table.revision))
+            table.apply_relayed(other.changes_since(table.revision))
         else:
-            table.take_relayed(old)
-            old = other.since(rng.choice([None, 1]))
+            table.apply_relayed(old)
+            old = other.changes_since(rng.choice([None, 1]))
         for one in tables:
             assert one.values == truth[one.revision], (move, one.values)
 
--- a/tests/features/steps/leaving_before_the_send.py
+++ b/tests/features/steps/leaving_before_the_send.py
@@ -90,7 +90,7 @@
 
     def leave(self):
         """Record in the table that the server is leaving."""
-        self.servers.take_notice(self.leaving.identity)
+        self.servers.note_leaving_identity(self.leaving.identity)
 
 
 class Wire:
@@ -120,8 +120,8 @@
         watchdog=Watchdog(clock),
         clock=clock,
         metrics=RouteMetrics(),
-        limits=lambda service: LIMITS,
-        used=lambda: None,
+        piece_limits=lambda service: LIMITS,
+        note_use=lambda: None,
     )
 
 
@@ -204,7 +204,9 @@
         connections=context.keeper,
         observations=SimpleNamespace(attempt_ended=lambda *a: None),
         costs=SimpleNamespace(add=lambda *a: None),
-        lines=SimpleNamespace(of=lambda s: SimpleNamespace(note_end=lambda: None)),
+        call_queues=SimpleNamespace(
+            of=lambda s: SimpleNamespace(record_end=lambda: None)
+        ),
     )
     answer = AttemptRun(parts, run, PermittedServer(server), Purpose.FIRST).send()
     assert not request.sent.any
@@ -256,7 +258,7 @@
 def step(context):
     context.server = context.listeners[0].server
     centre = context.server.data_centre
-    context.keeper.on_connect = lambda: context.server_table.take_drained(
+    context.keeper.on_connect = lambda: context.server_table.set_drained(
         frozenset({centre})
     )
     context.failure = context.call(context, context.server)
@@ -285,7 +287,7 @@
     context.server = context.listeners[0].server
     assert context.guard.refusal() is None
     record = CrashRecord(FINGERPRINT, crashes=CRASHES_TO_QUARANTINE)
-    context.keeper.on_connect = lambda: context.quarantine.take(record, 0.0)
+    context.keeper.on_connect = lambda: context.quarantine.merge(record, 0.0)
     context.failure = context.call(context, context.server)
 
 
@@ -300,7 +302,7 @@
 @when("its data centre is drained and {word} is due")
 def step(context, word):
     server = context.listeners[0].server
-    context.server_table.take_drained(frozenset({server.data_centre}))
+    context.server_table.set_drained(frozenset({server.data_centre}))
     send_message(context, server, word)
 
 
--- a/tests/features/steps/limits_over_entries.py
+++ b/tests/features/steps/limits_over_entries.py
@@ -198,7 +198,7 @@
 @when("they tell each other")
 def step(context):
     one, other = context.both
-    records = [limits.known(SERVER) for limits in context.both]
+    records = [limits.record(SERVER) for limits in context.both]
     one.take(records[1])
     other.take(records[0])
 
@@ -235,7 +235,7 @@
     permits = context.limited.permits
     taken = [permits.acquire(SERVER, 0.0) for _ in range(10)]
     assert isinstance(taken[0], Permit) and isinstance(taken[-1], PermitRefused)
-    permits.give_back(taken[0])
+    permits.release(taken[0])
 
 
 @then("the next permit begins at once")
@@ -253,7 +253,7 @@
     other.note_answer(SERVER, limit, 0.0, True)
     context.clock = SetClock()
     context.limits = ServerLimits(context.clock)
-    context.limits.take(other.known(SERVER))
+    context.limits.take(other.record(SERVER))
 
 
 @when("the server is listed here")
@@ -276,7 +276,7 @@
     other.note_answer(SERVER, limit, 0.0, True)
     context.clock = SetClock()
     context.limits = ServerLimits(context.clock)
-    context.limits.take(other.known(SERVER), float(age))
+    context.limits.take(other.record(SERVER), float(age))
 
 
 @when("the answer of a call that was sent {age:d} seconds ago names none")
--- a/tests/features/steps/lost_questions.py
+++ b/tests/features/steps/lost_questions.py
@@ -16,12 +16,12 @@
 from boragestream.entry.messages import Sender
 from boragestream.entry.peers import EntryPeers
 from boragestream.platform.reader import PlatformUnreachable
-from boragestream.policy.confirming import Confirming
-from boragestream.policy.first_knowledge import FirstKnowledge
+from boragestream.policy.confirming import ConfirmationSchedule
+from boragestream.policy.first_knowledge import StartupReadiness
 from boragestream.policy.publication import Changes, Snapshot
 from boragestream.policy.published_table import PublishedTable
 from boragestream.policy.route_table import RoutesInForce
-from boragestream.policy.watching import StoreFollowing
+from boragestream.policy.watching import StoreCallSchedule
 from tests.standins.clock import SetClock
 from tests.standins.fleet import wait_until
 from tests.standins.log_lines import log_lines
@@ -172,10 +172,10 @@
     clock, rng = SetClock(), random.Random(1)
     context.clock, context.store = clock, SometimesAway()
     prefixes = ("configuration", "servers")
-    following = StoreFollowing(
+    following = StoreCallSchedule(
         clock, rng, dict.fromkeys(prefixes, False), 2.0, lambda: True, lambda: 1
     )
-    context.confirming = Confirming(clock, rng, prefixes, 2.0, lambda: True)
+    context.confirming = ConfirmationSchedule(clock, rng, prefixes, 2.0, lambda: True)
     events = (Event.CONFIGURATION_UNREACHABLE, Event.INSTANCES_UNREACHABLE)
     context.publications = [
         Publication(
@@ -195,13 +195,13 @@
         for prefix, event in zip(prefixes, events, strict=True)
     ]
     for publication in context.publications:
-        publication.table.take(Snapshot(1, {}))
+        publication.table.apply_answer(Snapshot(1, {}))
         # An answer, and a watch behind it that waits.
-        assert following.asks(publication.prefix)
+        assert following.should_call(publication.prefix)
         following.note_answer(publication.prefix)
     clock.seconds += SETTLED_SECONDS
     for publication in context.publications:
-        assert following.asks(publication.prefix)
+        assert following.should_call(publication.prefix)
     context.confirming.note_answer("configuration", clock.now() + 0.4)
     context.confirming.note_answer("servers", clock.now())
 
@@ -279,7 +279,7 @@
             RoutesInForce(),
             lambda values: None,
             lambda values: self.taken.append(sorted(values)),
-            FirstKnowledge(clock, AWAITED_KEYS),
+            StartupReadiness(clock, AWAITED_KEYS),
             self.stopping,
             clock,
             rng,
--- a/tests/features/steps/overdue_calls.py
+++ b/tests/features/steps/overdue_calls.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from boragestream.document.calls import StageReport
-from boragestream.policy.overdue_calls import answer_is_lost, ask_after_seconds
+from boragestream.policy.overdue_calls import answer_is_lost, query_delay_seconds
 
 STAGED = {
     "Pieces": "2,3",
@@ -16,7 +16,7 @@
 
 @then("a call of {usual:g} s is asked about after {after:g} s")
 def step(context, usual, after):
-    assert abs(ask_after_seconds(usual) - after) < 1e-9
+    assert abs(query_delay_seconds(usual) - after) < 1e-9
 
 
 @then('a report of {queued:d} calls queued and "{work}" says that the answer is {fate}')
--- a/tests/features/steps/piece_queue.py
+++ b/tests/features/steps/piece_queue.py
@@ -124,7 +124,7 @@
     results = [PieceResult("", PieceFault.NO_ROOM)] * len(batch.pieces)
     context.service_queue.end(batch, results, True, 100.1)
     for waiting, piece in batch.pieces:
-        context.service_queue.put_back(waiting.order.order_id, piece)
+        context.service_queue.requeue(waiting.order.order_id, piece)
 
 
 @then("the pieces wait, and the server gets none of them at once")
--- a/tests/features/steps/piece_repeats.py
+++ b/tests/features/steps/piece_repeats.py
@@ -89,7 +89,7 @@
     def done(order_id, numbered):
         results.setdefault(order_id, []).extend(numbered)
 
-    context.batches._done = done
+    context.batches._on_results = done
     for number in range(count):
         made = tuple(Piece(f"r{number}", 0, n, "key", ()) for n in range(pieces))
         order = PieceOrder(f"r{number}/0", SERVICE, made, 10.0, 0, False)
--- a/tests/features/steps/policy_attempts.py
+++ b/tests/features/steps/policy_attempts.py
@@ -10,7 +10,7 @@
 from boragestream.policy.budgets import START_TOKENS, AttemptBudget
 from boragestream.policy.circuits import CLOSED, after_failure, is_open
 from boragestream.policy.concurrency import INITIAL_LIMIT, is_queueing, next_limit
-from boragestream.policy.costs import CostTable, Purpose, Spent
+from boragestream.policy.costs import CostTable, Purpose, TimeUse
 from boragestream.policy.hedging import hedge_delay, hedge_share
 from boragestream.policy.reports import LoadReport
 from boragestream.policy.retries import FailedAttempt, retry_verdict
@@ -171,7 +171,7 @@
     context.costs = CostTable()
     for account, seconds in (("first", 1.0), ("second", 2.0)):
         for purpose in Purpose:
-            for spent in Spent:
+            for spent in TimeUse:
                 context.costs.add(account, "p.s", purpose, spent, seconds)
 
 
@@ -180,5 +180,5 @@
     pages = context.costs.snapshot()
     for account, seconds in (("first", 3.0), ("second", 6.0)):
         page = pages[account]["p.s"]
-        assert {getattr(page, spent.value) for spent in Spent} == {seconds}, page
+        assert {getattr(page, spent.value) for spent in TimeUse} == {seconds}, page
         assert (page.attempts, page.hedges, page.retries) == (15, 5, 5)
--- a/tests/features/steps/policy_membership.py
+++ b/tests/features/steps/policy_membership.py
@@ -49,14 +49,14 @@
 def new_table(name, incarnation):
     """Return the table of an entry that has read the list."""
     table = EntryTable(name, incarnation, SystemClock())
-    table.take_list([listed(n) for n in NAMES])
+    table.apply_list([listed(n) for n in NAMES])
     return table
 
 
 def deliver(source, target):
     """Give one table every record of another."""
     for member in source.table.records.values():
-        target.take(member)
+        target.merge(member)
 
 
 @then("merging arbitrary records is commutative, associative and idempotent")
@@ -113,24 +113,24 @@
     if event == "deliver":
         deliver(running[name], running[other])
     elif event == "suspect" and name != other:
-        running[name].note_unreached(other)
+        running[name].note_unreachable(other)
     elif event == "replace":
         running[name] = new_table(name, incarnation)
     elif event == "leave":
-        running[name].say(MemberState.LEAVING)
+        running[name].announce_state(MemberState.LEAVING)
 
 
 @given('a table that knows "{name}" in incarnation "{incarnation}"')
 def step(context, name, incarnation):
     context.entry_table = new_table("entry-1", "own")
     context.known = Member(name, incarnation)
-    context.entry_table.take(context.known)
+    context.entry_table.merge(context.known)
 
 
 @when('the list says that "{name}" is "{states}"')
 def step(context, name, states):
     entries = [listed(name, state == "leaving") for state in states.split(", ")]
-    context.entry_table.take_list(entries)
+    context.entry_table.apply_list(entries)
 
 
 @when(
@@ -139,17 +139,17 @@
 )
 def step(context, name, generation, incarnation):
     successor = replace(context.known, generation=generation, incarnation=incarnation)
-    context.entry_table.take(successor)
+    context.entry_table.merge(successor)
 
 
 @when('"{name}" does not answer')
 def step(context, name):
-    context.confirm = context.entry_table.note_missed(name)
+    context.confirm = context.entry_table.note_unanswered(name)
 
 
 @when('"{name}" does not answer another entry either')
 def step(context, name):
-    context.entry_table.note_unreached(name)
+    context.entry_table.note_unreachable(name)
 
 
 @then("others are asked to probe it")
--- a/tests/features/steps/policy_routing.py
+++ b/tests/features/steps/policy_routing.py
@@ -11,7 +11,7 @@
 from boragestream.policy.easing import EASE_SECONDS, eased_share
 from boragestream.policy.load import CallEnd, LoadTable
 from boragestream.policy.reports import LoadReport
-from boragestream.policy.routing import Place, routing_policies
+from boragestream.policy.routing import Location, routing_policies
 from boragestream.policy.servers import Server
 from tests.standins.clock import SetClock
 
@@ -31,7 +31,7 @@
     context.servers = tuple(new_server(number) for number in range(count))
     context.loads = LoadTable(context.clock, rng)
     context.loads.take_list(context.servers)
-    home = Place("here", "east")
+    home = Location("here", "east")
     policies = routing_policies(context.loads, context.clock, rng, lambda: home)
     context.policy = policies["expected-finish"]
     context.prefix = None
--- a/tests/features/steps/policy_servers.py
+++ b/tests/features/steps/policy_servers.py
@@ -20,7 +20,7 @@
     context.server = Server(name, "service", HOST, "centre", incarnation)
     context.unused = []
     context.servers = ServerTable()
-    context.servers.when_unused(context.unused.append)
+    context.servers.on_unused(context.unused.append)
     context.servers.take_list([context.server])
 
 
@@ -29,7 +29,7 @@
     if source == "the server":
         context.servers.note_leaving(context.server)
     elif source == "a peer":
-        context.servers.take_notice(context.server.identity)
+        context.servers.note_leaving_identity(context.server.identity)
     else:
         context.servers.take_list([replace(context.server, state=ServerState.LEAVING)])
 
@@ -58,7 +58,7 @@
 @when("{count:d} other servers leave and vanish")
 def step(context, count):
     for number in range(count):
-        context.servers.take_notice((f"server-{number}", HOST, "1"))
+        context.servers.note_leaving_identity((f"server-{number}", HOST, "1"))
 
 
 @then("the table remembers at most {count:d} of them")
--- a/tests/features/steps/policy_ticket_book.py
+++ b/tests/features/steps/policy_ticket_book.py
@@ -82,7 +82,7 @@
     """Apply one action to a ticket; fail on a second grant."""
     ticket = read_ticket(text)
     if action == "burn":
-        return book.burn(ticket, "ledger-desk", "r-burn", TicketNotUsed())
+        return book.void_unused(ticket, "ledger-desk", "r-burn", TicketNotUsed())
     if action == "finish":
         granted = grants.get(text)
         if granted is None or granted[0] is not book:
--- a/tests/features/steps/policy_waiting.py
+++ b/tests/features/steps/policy_waiting.py
@@ -43,14 +43,14 @@
         return SERVER
 
     latest = context.clock.now() + spare / 1000
-    return context.queue.take(choose, latest, cancelled)
+    return context.queue.acquire(choose, latest, cancelled)
 
 
 @given("{rate:d} calls of the service end in each second")
 def step(context, rate):
     for _ in range(rate * 2):
         context.clock.seconds += 1 / rate
-        context.queue.note_end()
+        context.queue.record_end()
 
 
 @when("calls with {spares} ms to spare wait")
@@ -66,7 +66,7 @@
 def step(context):
     for count in range(1, len(context.waiting) + 1):
         context.room.release()
-        context.queue.note_end()
+        context.queue.record_end()
         wait_until(lambda count=count: len(context.served) == count, WAIT_SECONDS)
 
 
--- a/tests/features/steps/published_servers.py
+++ b/tests/features/steps/published_servers.py
@@ -21,7 +21,7 @@
 from boragestream.policy.load import CallEnd, LoadTable
 from boragestream.policy.piece_queue import PieceOrder, QueuedOrder
 from boragestream.policy.server_limits import ServerLimits
-from boragestream.policy.server_lives import ServerLives
+from boragestream.policy.server_lives import ServerIncarnations
 from boragestream.policy.servers import Server, ServerTable
 from boragestream.policy.service_queue import ServiceQueue
 from tests.standins.clock import SetClock
@@ -64,7 +64,7 @@
         self.clock = SetClock()
         self.unused = []
         self.servers = ServerTable()
-        self.servers.when_unused(self.unused.append)
+        self.servers.on_unused(self.unused.append)
         self.loads = LoadTable(self.clock, random.Random(1))
         links = PeerLinks(Sender("routes", "10.0.0.9:1", "1", b"a-key-of-16-bytes"))
         self.members = EntryPeers(
@@ -84,7 +84,7 @@
             self.clock,
         )
         self.published = PublishedServers(
-            ServerLives(self.clock),
+            ServerIncarnations(self.clock),
             self.members,
             self.servers,
             self.loads,
@@ -100,7 +100,9 @@
 
     def take_notice(self, server):
         """Take another entry's word."""
-        self.servers.take_notice((server.name, server.host, server.incarnation))
+        self.servers.note_leaving_identity(
+            (server.name, server.host, server.incarnation)
+        )
 
     def take(self):
         """Take all entries."""
@@ -251,7 +253,7 @@
 @then("its room is free and its result is never named again")
 def step(context):
     now = context.site.clock.now()
-    context.queue.forget(context.site.servers.all, now)
+    context.queue.drop_stale_servers(context.site.servers.all, now)
     assert not context.queue.holds(context.earlier, "10.0.0.1:80/ab")
     piece = Piece("q", 0, 0, "key", ())
     order = PieceOrder("q/0", SERVICE, (piece,), 1_000_000.0, 0, False)
@@ -287,7 +289,7 @@
 @then("after {seconds:g} seconds the life that is published is the one to use")
 def step(context, seconds):
     context.site.clock.seconds += seconds
-    context.site.published.look_again()
+    context.site.published.reapply()
     live = context.site.servers.live(SERVICE)
     assert [s.started_ms for s in live] == [BORN_MS - 5_000], live
 
--- a/tests/features/steps/quarantine.py
+++ b/tests/features/steps/quarantine.py
@@ -17,7 +17,7 @@
 
 def record_crash(quarantine, name):
     """Record that a server crashes under a request that is sent now."""
-    quarantine.note_crash(quarantine.known(fingerprint(name)))
+    quarantine.note_crash(quarantine.record_for(fingerprint(name)))
 
 
 @given("an entry that knows of no crash")
@@ -33,7 +33,7 @@
 
 @when('{count:d} servers that run the request "{name}" at the same time crash')
 def step(context, count, name):
-    sent_with = [context.quarantine.known(fingerprint(name)) for _ in range(count)]
+    sent_with = [context.quarantine.record_for(fingerprint(name)) for _ in range(count)]
     for known in sent_with:
         context.quarantine.note_crash(known)
 
@@ -48,14 +48,14 @@
     "one answers and then the other crashes"
 )
 def step(context, name):
-    sent_with = context.quarantine.known(fingerprint(name))
+    sent_with = context.quarantine.record_for(fingerprint(name))
     context.quarantine.note_answered(fingerprint(name))
     context.quarantine.note_crash(sent_with)
 
 
 @then('{count:d} crash in a row is known of the request "{name}"')
 def step(context, count, name):
-    assert context.quarantine.known(fingerprint(name)).crashes == count
+    assert context.quarantine.record_for(fingerprint(name)).crashes == count
 
 
 @when("{count:d} other requests are each cut by a crash")
@@ -66,7 +66,7 @@
 
 @then("no more than {most:d} requests are kept")
 def step(context, most):
-    kept = context.quarantine.news(10 * most)
+    kept = context.quarantine.next_offers(10 * most)
     assert len(kept) <= most, len(kept)
 
 
@@ -115,7 +115,7 @@
 def step(context, name):
     context.record = CrashRecord(fingerprint(name), crashes=CRASHES_TO_QUARANTINE)
     for table in context.tables:
-        assert table.take(context.record, 0.0)
+        assert table.merge(context.record, 0.0)
 
 
 @then("no two of them probe within {seconds:d} seconds")
@@ -196,7 +196,7 @@
     for _ in range(int(seconds / gap)):
         table = crowd.rng.choice(list(crowd.entries.values())).quarantine
         if table.admit(of) is None:
-            sent_with = table.known(of)
+            sent_with = table.record_for(of)
             crowd.after(CRASH_SECONDS, lambda t=table, s=sent_with: cut(t, s))
         crowd.run(gap)
 
@@ -209,7 +209,7 @@
 
     def send(table, was_cut):
         if table.admit(of, was_cut) is None:
-            sent_with = table.known(of)
+            sent_with = table.record_for(of)
             crowd.after(CRASH_SECONDS, lambda: cut(table, sent_with))
 
     def cut(table, sent_with):
--- a/tests/features/steps/returned_copy.py
+++ b/tests/features/steps/returned_copy.py
@@ -14,7 +14,7 @@
 from boragestream.platform.reader import PlatformAnswer
 from boragestream.platform.store import Store
 from boragestream.policy.publication import Position
-from boragestream.policy.published_table import Standing
+from boragestream.policy.published_table import AnswerStatus
 from tests.standins.clock import SetClock
 from tests.standins.copied_store import ORDERS, CopiedStore, Follower
 
@@ -50,7 +50,7 @@
     for word in text.split():
         context.store.write(word)
         context.first.ask()
-    context.late = context.first.servers.since(None)
+    context.late = context.first.servers.changes_since(None)
     context.late_read = context.store.read(orders=False)
     context.late_watch = context.store.watch(False, context.copy[3])
 
@@ -64,7 +64,7 @@
 def step(context, text):
     context.store.write(text)
     for table, orders in context.first.tables:
-        table.take(context.store.read(orders))
+        table.apply_answer(context.store.read(orders))
 
 
 @given('another copy, after which "{text}" was acknowledged')
@@ -106,13 +106,13 @@
     context.store.write(text)
     table = context.first.servers
     answer = context.store.watch(False, table.revision)
-    context.standing = table.standing(answer)
-    assert not table.take(answer)
+    context.standing = table.answer_status(answer)
+    assert not table.apply_answer(answer)
 
 
 @then("all is to be read")
 def step(context):
-    assert context.standing is Standing.UNCONNECTED
+    assert context.standing is AnswerStatus.UNCONNECTED
 
 
 @given("the other entry knows of it too, and asks the first what has changed since")
@@ -130,8 +130,8 @@
 @when("the first answers what the other entry asked before the return")
 def step(context):
     asked = context.question
-    answer = context.first.servers.since(asked.revision, asked.era)
-    context.other.servers.take_relayed(answer)
+    answer = context.first.servers.changes_since(asked.revision, asked.era)
+    context.other.servers.apply_relayed(answer)
 
 
 @given("a watch that is on its way")
@@ -148,9 +148,9 @@
 def step(context):
     table = context.first.servers
     answer = context.store.watch(False, context.asked.revision)
-    assert table.standing(answer, context.asked) is Standing.OUTDATED
+    assert table.answer_status(answer, context.asked) is AnswerStatus.OUTDATED
     # The next one that the entry sends itself is connected.
-    assert table.standing(answer, table.position) is Standing.USABLE
+    assert table.answer_status(answer, table.position) is AnswerStatus.USABLE
 
 
 @when("all is asked again")
@@ -202,11 +202,11 @@
 def step(context, answer):
     table = context.first.servers
     if "message" in answer:
-        table.take_relayed(context.late)
+        table.apply_relayed(context.late)
     else:
         late = context.late_read if "read" in answer else context.late_watch
-        assert table.standing(late) is Standing.OUTDATED
-        table.take(late)
+        assert table.answer_status(late) is AnswerStatus.OUTDATED
+        table.apply_answer(late)
 
 
 @then('"{key}" counts as {shown}')
@@ -283,7 +283,7 @@
     entries = [Follower(clock, store) for _ in range(3)]
     for entry in entries:
         entry.ask()
-    copies, late = [store.copy()], entries[0].servers.since(None)
+    copies, late = [store.copy()], entries[0].servers.changes_since(None)
     watched = None
     for move in steps:
         entry, other = rng.sample(entries, 2)
@@ -307,14 +307,14 @@
             if rng.random() < 0.5:
                 started.ask()
         elif move == "late":
-            entry.servers.take_relayed(late)
+            entry.servers.apply_relayed(late)
             after = rng.choice([None, entry.servers.revision])
-            late = other.servers.since(after, entry.servers.era) or late
+            late = other.servers.changes_since(after, entry.servers.era) or late
         elif move == "late watch":
             if watched is not None:
                 table, asked, answer = watched
-                if table.standing(answer, asked) is Standing.USABLE:
-                    table.take(answer)
+                if table.answer_status(answer, asked) is AnswerStatus.USABLE:
+                    table.apply_answer(answer)
             watched = late_watch(entry, store, rng)
         else:
             clock.seconds += rng.choice([0.5, 3.0, 10.0, 40.0])
--- a/tests/features/steps/route_decisions.py
+++ b/tests/features/steps/route_decisions.py
@@ -23,7 +23,7 @@
 from boragestream.policy.piece_queue import PieceOrder
 from boragestream.policy.publication import Change, Changes, Snapshot
 from boragestream.policy.published_table import PublishedTable
-from boragestream.policy.queue_owners import able_entries, owner_order
+from boragestream.policy.queue_owners import eligible_entries, owner_ranking
 from boragestream.policy.retry_window import RetryBounds, RetryWindows
 from boragestream.policy.route_table import (
     KeyUnknown,
@@ -33,7 +33,7 @@
 )
 from boragestream.policy.server_choice import (
     ServerChoice,
-    near_results,
+    results_data_centre,
     shared_part,
 )
 from boragestream.policy.servers import Server
@@ -134,7 +134,7 @@
     context.published = PublishedTable(context.clock.now)
     context.published.note_answer()
     values = {key: key.encode() for key in keys.split(", ")}
-    context.published.take(Snapshot(1, values))
+    context.published.apply_answer(Snapshot(1, values))
 
 
 @when('"{events}" happen')
@@ -148,13 +148,13 @@
             table.note_answer()
         elif verb == "wait":
             context.clock.seconds += float(key)
-            table.drop_lapsed()
+            table.drop_expired()
         elif verb == "snapshot":
-            table.take(Snapshot(table.revision + 1, {key: key.encode()}))
+            table.apply_answer(Snapshot(table.revision + 1, {key: key.encode()}))
         else:
             value = key.encode() if verb == "put" else None
             revision = table.revision + 1
-            table.take(Changes(revision, (Change(key, revision, value),)))
+            table.apply_answer(Changes(revision, (Change(key, revision, value),)))
 
 
 @then('the table holds "{keys}"')
@@ -213,7 +213,7 @@
 
 @then('a call that reads {size:d} bytes in "{centre}" runs in "{expected}"')
 def step(context, size, centre, expected):
-    near = near_results([StageResult("handle", centre, float(size))])
+    near = results_data_centre([StageResult("handle", centre, float(size))])
     for number in range(50):
         engine = context.choice.engine(context.engines, f"part-{number}", near)
         assert engine.data_centre == expected
@@ -221,7 +221,7 @@
 
 @then('a call that reads {size:d} bytes in "{centre}" may run anywhere')
 def step(context, size, centre):
-    near = near_results([StageResult("handle", centre, float(size))])
+    near = results_data_centre([StageResult("handle", centre, float(size))])
     engines = [
         context.choice.engine(context.engines, f"part-{number}", near)
         for number in range(50)
@@ -232,9 +232,9 @@
 @then("any order of the same entries gives the same owner, and another when it is gone")
 def step(context):
     entries = [f"10.0.0.{n}:80" for n in range(6)]
-    owner, second, *_ = owner_order("service", entries)
-    assert owner_order("service", entries[::-1])[0] == owner
-    assert owner_order("service", [e for e in entries if e != owner])[0] == second
+    owner, second, *_ = owner_ranking("service", entries)
+    assert owner_ranking("service", entries[::-1])[0] == owner
+    assert owner_ranking("service", [e for e in entries if e != owner])[0] == second
 
 
 @given("a service whose stages usually take {seconds:g} s")
@@ -246,13 +246,13 @@
 
 @when("one of its stages takes {seconds:g} s")
 def step(context, seconds):
-    context.delays.note("service", seconds, context.usual)
+    context.delays.record("service", seconds, context.usual)
 
 
 @when("{count:d} more take {seconds:g} s each")
 def step(context, count, seconds):
     for _ in range(count):
-        context.delays.note("service", seconds, context.usual)
+        context.delays.record("service", seconds, context.usual)
 
 
 @when("nothing is measured for {seconds:g} s")
@@ -277,7 +277,7 @@
         ListedEntry(str(n), "host", str(n), "hall", capacity=float(capacity))
         for n, capacity in enumerate(capacities.split(", "))
     ]
-    assert able_entries(entries) == able.split(", ")
+    assert eligible_entries(entries) == able.split(", ")
 
 
 @then(
@@ -324,7 +324,7 @@
 @when('entries come that rank before "{name}"')
 def step(context, name):
     context.live += [f"entry-{number}" for number in range(20)]
-    assert owner_order("service", context.live)[0] != name
+    assert owner_ranking("service", context.live)[0] != name
 
 
 @then('the order is asked after at "{name}", and a new one elsewhere')
