--- a/tests/features/steps/route_planning.py
+++ b/tests/features/steps/route_planning.py
@@ -8,13 +8,17 @@
 from boragestream.base.events import Event
 from boragestream.daemon.publication import Publication
 from boragestream.document.calls import PromptPart, StageResult
-from boragestream.policy.confirming import Confirming
+from boragestream.policy.confirming import ConfirmationSchedule
 from boragestream.policy.connection_shares import idle_connections
 from boragestream.policy.engine_delays import EngineDelays
 from boragestream.policy.publication import Change, Changes, Snapshot
 from boragestream.policy.published_table import PublishedTable
-from boragestream.policy.server_choice import near_results, shared_tokens, stage_place
-from boragestream.policy.watching import StoreFollowing
+from boragestream.policy.server_choice import (
+    results_data_centre,
+    shared_tokens,
+    stage_data_centre,
+)
+from boragestream.policy.watching import StoreCallSchedule
 from boragestream.serving.forwarded_run import outcome_of
 from boragestream.serving.owner_links import milliseconds
 from boragestream.serving.piece_failures import StageSaturated
@@ -37,7 +41,7 @@
     results = [StageResult("handle", "here", size * 1e6)]
     prompt = (PromptPart("a", tokens), PromptPart("own", 500))
     assert shared_tokens(prompt) == tokens
-    assert (near_results(results, tokens) or "none") == near
+    assert (results_data_centre(results, tokens) or "none") == near
 
 
 @given(
@@ -53,9 +57,9 @@
     "{kept:g} s are kept back for that route, and {usual:g} s for one that is not known"
 )
 def step(context, kept, usual):
-    found = context.engine_delays.expected("route")
+    found = context.engine_delays.reserve_seconds("route")
     assert abs(found - kept) < 0.02, found
-    assert context.engine_delays.expected("another") == usual
+    assert context.engine_delays.reserve_seconds("another") == usual
 
 
 @when("one call takes {seconds:g} s")
@@ -65,14 +69,14 @@
 
 @then("{kept:g} s are kept back for that route at the most")
 def step(context, kept):
-    assert context.engine_delays.expected("route") == kept
+    assert context.engine_delays.reserve_seconds("route") == kept
 
 
 @then('{count:d} pieces of {size:g} MB that read "{read}" are made in "{place}"')
 def step(context, count, size, read, place):
     read_mb = 0.0 if read == "nothing" else float(read)
     results = [StageResult("handle", "there", read_mb * 1e6)] if read_mb else []
-    found = stage_place(results, count, size * 1e6, "home")
+    found = stage_data_centre(results, count, size * 1e6, "home")
     assert (found or "any") == place, found
 
 
@@ -125,7 +129,7 @@
     clock = SetClock()
     store = ChangingStore(clock, context.answers)
     stopping = RecordingStopEvent(store)
-    following = StoreFollowing(
+    following = StoreCallSchedule(
         clock, random.Random(1), {"servers/": True}, 1.0, lambda: True, lambda: 1
     )
     # Long after the start, when this entry knows that it is a watcher.
@@ -136,7 +140,9 @@
         watch_seconds=10.0,
         table=PublishedTable(clock.now),
         following=following,
-        confirming=Confirming(clock, random.Random(1), ["servers/"], 1.0, lambda: True),
+        confirming=ConfirmationSchedule(
+            clock, random.Random(1), ["servers/"], 1.0, lambda: True
+        ),
         take=lambda values: None,
         on_change=lambda: None,
         before_answer=lambda: None,
--- a/tests/features/steps/slot_shares.py
+++ b/tests/features/steps/slot_shares.py
@@ -51,7 +51,7 @@
     context.admission = Admission(
         256, context.clock, random.Random(1), share=context.shares.share
     )
-    context.loads.when_first_reported(partial(look_again, context))
+    context.loads.on_first_report(partial(look_again, context))
     context.pool = ThreadPoolExecutor(count)
     context.add_cleanup(end_all, context)
     candidate = context.candidate(deadline=context.clock.now() + DEADLINE_SECONDS)
@@ -63,8 +63,8 @@
 
 def look_again(context, service):
     """Handle a server's first report as the daemon does."""
-    if context.shares.note_reported(service):
-        context.admission.look_again()
+    if context.shares.note_first_report(service):
+        context.admission.recheck_queue()
 
 
 def end_all(context):
@@ -97,7 +97,7 @@
 
 @when("no server reports its slots")
 def step(context):
-    context.admission.look_again()
+    context.admission.recheck_queue()
 
 
 @then("{count:d} requests have begun")
--- a/tests/standins/copied_store.py
+++ b/tests/standins/copied_store.py
@@ -5,7 +5,7 @@
 
 from boragestream.policy.operator_table import OperatorTable
 from boragestream.policy.publication import NO_ERA, Change, Changes, Snapshot
-from boragestream.policy.published_table import PublishedTable, Standing
+from boragestream.policy.published_table import AnswerStatus, PublishedTable
 
 KEPT_CHANGES = 4
 ORDERS = "op/"
@@ -93,23 +93,26 @@
             answer = None
             if table.position is not None:
                 answer = self.store.watch(orders, table.revision)
-            if answer is None or table.standing(answer) is Standing.UNCONNECTED:
+            if (
+                answer is None
+                or table.answer_status(answer) is AnswerStatus.UNCONNECTED
+            ):
                 answer = self.store.read(orders)
-            table.take(answer)
+            table.apply_answer(answer)
 
     def hear(self, other):
         """Take what another entry passes on."""
         drained = other.operators.drained_centres()
         if drained is not None:
-            self.operators.take_relayed(drained)
-        relayed = other.servers.since(self.servers.revision, self.servers.era)
+            self.operators.apply_relayed(drained)
+        relayed = other.servers.changes_since(self.servers.revision, self.servers.era)
         if relayed is not None:
-            self.servers.take_relayed(relayed)
+            self.servers.apply_relayed(relayed)
 
     def look_again(self):
         """End what is over."""
-        self.servers.drop_lapsed()
-        self.operators.drop_lapsed()
+        self.servers.drop_expired()
+        self.operators.drop_expired()
 
     def shown(self, key):
         """Return what is used of a key."""
--- a/tests/standins/following.py
+++ b/tests/standins/following.py
@@ -10,13 +10,13 @@
 import random
 
 from boragestream.daemon.publication import LOST_WATCH_SECONDS
-from boragestream.policy.confirming import Confirming
+from boragestream.policy.confirming import ConfirmationSchedule
 from boragestream.policy.operator_table import OperatorTable
 from boragestream.policy.publication import Change, Changes, Position, Snapshot
-from boragestream.policy.published_table import PublishedTable, Standing
+from boragestream.policy.published_table import AnswerStatus, PublishedTable
 from boragestream.policy.watching import (
     MAX_AGE_SECONDS,
-    StoreFollowing,
+    StoreCallSchedule,
     is_first_watcher,
     select_watchers,
 )
@@ -101,7 +101,7 @@
     def starts(self):
         """Begin knowing nothing."""
         site = self.site
-        self.following = StoreFollowing(
+        self.following = StoreCallSchedule(
             site.clock,
             site.rng,
             PREFIXES,
@@ -109,7 +109,7 @@
             self.designated,
             lambda: len(site.running()),
         )
-        self.confirming = Confirming(
+        self.confirming = ConfirmationSchedule(
             site.clock,
             site.rng,
             PREFIXES,
@@ -145,7 +145,7 @@
         for prefix in PREFIXES:
             if prefix in self.pending:
                 self.try_to_end(prefix)
-            elif self.following.asks(prefix):
+            elif self.following.should_call(prefix):
                 self.site.store.calls += 1
                 known = self.table_of(prefix).revision is not None
                 wait = self.following.wait_seconds(prefix, WATCH_SECONDS)
@@ -164,8 +164,8 @@
                 self.note_unanswered(self.lost_question)
             return
         for prefix in PREFIXES:
-            waits = self.following.waits(prefix)
-            if not waits or not self.confirming.asks(prefix):
+            waits = self.following.has_pending_watch(prefix)
+            if not waits or not self.confirming.should_read(prefix):
                 continue
             self.site.store.calls += 1
             if self.site.store.loses:
@@ -231,10 +231,10 @@
 
     def end_unanswered(self, prefix, began):
         """Take that a call was not answered."""
-        waited = self.following.waits(prefix)
+        waited = self.following.has_pending_watch(prefix)
         lately = max(began, self.site.clock.now() - LOST_WATCH_SECONDS)
         if waited and self.confirming.confirmed_since(prefix, lately):
-            self.following.note_lost(prefix)
+            self.following.note_call_lost(prefix)
             return
         self.table.note_failure()
         self.following.note_failure(prefix)
@@ -257,14 +257,14 @@
             return False
         else:
             answer = Changes(store.revision, tuple(self.changes(prefix)), store.era)
-        standing = table.standing(answer)
-        if standing is not Standing.USABLE:
-            if standing is Standing.UNCONNECTED:
+        standing = table.answer_status(answer)
+        if standing is not AnswerStatus.USABLE:
+            if standing is AnswerStatus.UNCONNECTED:
                 self.reread.add(prefix)
             return False
         if prefix == "configuration":
             self.configuration_known = True
-        if table.take(answer):
+        if table.apply_answer(answer):
             self.note_news()
         return True
 
@@ -301,7 +301,7 @@
         if self.table.revision is None or age >= MAX_AGE_SECONDS:
             return None
         confirmed = self.confirming.age()
-        trouble = self.following.trouble_seconds()
+        trouble = self.following.seconds_since_failure()
         drained = self.operators.drained_centres()
         return age, trouble, self.table.position, confirmed, drained
 
@@ -310,18 +310,18 @@
         if word is None:
             return
         age, trouble, position, confirmed, drained = word
-        if drained is not None and self.operators.take_relayed(drained):
+        if drained is not None and self.operators.apply_relayed(drained):
             self.note_news()
         if self.lacks(other, position):
             self.configuration_known = True
-            relayed = other.table.since(self.table.revision, self.table.era)
-            if self.table.take_relayed(relayed):
+            relayed = other.table.changes_since(self.table.revision, self.table.era)
+            if self.table.apply_relayed(relayed):
                 self.note_news()
         if self.table.era > position.era:
             return
-        self.following.take_notice(age, trouble)
+        self.following.note_relayed_age(age, trouble)
         if confirmed < MAX_AGE_SECONDS:
-            self.confirming.take_notice(confirmed)
+            self.confirming.note_relayed_age(confirmed)
 
     def lacks(self, other, position):
         """Tell whether another entry has more, or uses other values."""
@@ -332,7 +332,7 @@
 
     def look_again(self):
         """Believe the store where that was put off."""
-        if self.table.drop_lapsed() or self.operators.drop_lapsed():
+        if self.table.drop_expired() or self.operators.drop_expired():
             self.note_news()
 
 
--- a/tests/standins/limit_crowd.py
+++ b/tests/standins/limit_crowd.py
@@ -57,7 +57,7 @@
         self.limited = LimitedServers(
             self.limits, self.permits, lambda: granters.count, crowd.clock, crowd.rng
         )
-        look = granters.look_again
+        look = granters.refresh
         return LimitsPart(self.limits, self.links, lambda n: n, self.submit, look)
 
     def ask(self, address, message, seconds):
@@ -108,12 +108,12 @@
         free, held = entry.limits.split(self.servers)
         chosen = None
         if free:
-            server = limited.unasked(held)
+            server = limited.idle_server(held)
             server = server or rng.choice([*free, *limited.ready(held)])
-            chosen = limited.at_once(server) if server in held else None
+            chosen = limited.acquire_now(server) if server in held else None
             chosen = chosen or PermittedServer(rng.choice(free))
         else:
-            chosen = limited.first(held, WAIT_SECONDS, rng.choice)
+            chosen = limited.acquire_earliest(held, WAIT_SECONDS, rng.choice)
         if not isinstance(chosen, PermittedServer):
             self.refused += 1
             return
--- a/tests/standins/membership.py
+++ b/tests/standins/membership.py
@@ -77,7 +77,7 @@
             self.urgent_left + (now - self.round_at) / URGENT_REFILL_SECONDS,
         )
         count = URGENT_FAN_OUT if self.urgent else FAN_OUT
-        count += min(MAX_EXTRA_PEERS, self.table.lost_lately())
+        count += min(MAX_EXTRA_PEERS, self.table.recent_loss_count())
         self.urgent_left -= self.urgent
         self.urgent = False
         self.round_at = now + URGENT_GAP_SECONDS
@@ -97,7 +97,7 @@
                 entry.peer_address,
                 entry.data_centre,
                 self.table.state(entry.name) is MemberState.SUSPECT,
-                self.table.missed(entry.name),
+                self.table.last_exchange_failed(entry.name),
             )
             for entry in self.table.in_states(states)
             if entry.name != self.name
@@ -124,14 +124,14 @@
 
     def miss(self, silent):
         """Take that an entry did not answer, and ask it once more."""
-        self.table.note_missed(silent.name)
+        self.table.note_unanswered(silent.name)
         self.crowd.after(
             PROBE_TIMEOUT_SECONDS, lambda: self.probe_through_other(silent)
         )
 
     def probe_through_other(self, silent):
         """Ask through another entry."""
-        if not self.alive or not self.table.note_missed(silent.name):
+        if not self.alive or not self.table.note_unanswered(silent.name):
             self.asked.discard(silent.name)
             return
         others = [
@@ -155,7 +155,7 @@
         """Take that nobody reaches an entry."""
         self.asked.discard(silent.name)
         if self.alive and not silent.alive:
-            self.table.note_unreached(silent.name)
+            self.table.note_unreachable(silent.name)
 
     def ask_repair(self, name):
         """Ask another entry for what differs."""
@@ -184,7 +184,7 @@
             e.name: MemberEntry(e.name, e.data_centre, self) for e in listed
         }
         for entry in self.entries.values():
-            entry.table.take_list(listed)
+            entry.table.apply_list(listed)
             entry.run()
 
     def after(self, seconds, work):
--- a/tests/standins/queue_parts.py
+++ b/tests/standins/queue_parts.py
@@ -18,11 +18,11 @@
 def queue_parts(clock, servers, cold, limits, **more):
     """Return the parts; ``limits`` are those of every service."""
     parts = {
-        "used": lambda: None,
+        "note_use": lambda: None,
         "clock": clock,
         "servers": servers,
         "cold": cold,
-        "limits": lambda service: limits,
+        "piece_limits": lambda service: limits,
         "loads": LoadTable(clock, None),
         "backoffs": ServerBackoffs(clock),
         "limited": lone_limits(clock),
